--- a/src/passthrough/BalancerDirectory.cpp
+++ b/src/passthrough/BalancerDirectory.cpp
@@ -29,8 +29,8 @@
   , mOptions(std::move(aOptions))
   , mOnFound(std::move(aOnFound))
   , mRandom(mOptions.mSeed)
-  , mRegisterPause(kFirstPause, kLongestPause, mOptions.mSeed)
-  , mLookPause(kFirstPause, kLongestPause, mOptions.mSeed + 1)
+  , mRegisterBackoff(kInitialBackoff, kMaxBackoff, mOptions.mSeed)
+  , mListBackoff(kInitialBackoff, kMaxBackoff, mOptions.mSeed + 1)
 {
 }
 
@@ -59,21 +59,21 @@
   return out.mPort == 0 ? std::nullopt : std::optional(out);
 }
 
-std::string BalancerDirectory::OwnKey() const
+std::string BalancerDirectory::SelfKey() const
 {
   return mOptions.mKind + "/" + NameOf(*mOptions.mSelf);
 }
 
-void BalancerDirectory::OnTick(bool aIsLost, Time aNow)
+void BalancerDirectory::OnTick(bool aHasNoPeers, Time aNow)
 {
   bool mayRegister = mOptions.mSelf && !mRegistered && !mRegistering && !mLeft;
-  if (mayRegister && aNow >= mRegisterAt) {
+  if (mayRegister && aNow >= mNextRegisterAt) {
     Register(aNow);
   }
-  if (!aIsLost) {
-    mLookPause.Reset();
-  } else if (!mLooking && aNow >= mLookAt) {
-    Look(aNow);
+  if (!aHasNoPeers) {
+    mListBackoff.Reset();
+  } else if (!mListing && aNow >= mNextListAt) {
+    ListEntries(aNow);
   }
 }
 
@@ -85,27 +85,27 @@
 void BalancerDirectory::Register(Time aNow)
 {
   mRegistering = true;
-  mRegisterAt = aNow + mRegisterPause.Next();
-  mStore.Put(OwnKey(), "{}", WriteCondition::IfAbsent(),
+  mNextRegisterAt = aNow + mRegisterBackoff.Next();
+  mStore.Put(SelfKey(), "{}", WriteCondition::IfAbsent(),
              [self = shared_from_this()](Result<std::uint64_t> aWritten) {
                self->mRegistering = false;
-               // A conflict is the entry of an earlier start, or one whose
-               // answer was lost.
+               // On a conflict the entry exists already, from an earlier start
+               // or from a write whose answer was lost.
                self->mRegistered =
                  aWritten || aWritten.error().mKind == ErrorKind::Conflict;
                if (self->mRegistered) {
-                 self->mRegisterPause.Reset();
+                 self->mRegisterBackoff.Reset();
                }
              });
 }
 
-void BalancerDirectory::Look(Time aNow)
+void BalancerDirectory::ListEntries(Time aNow)
 {
-  mLooking = true;
-  mLookAt = aNow + kFirstPause + mLookPause.Next();
+  mListing = true;
+  mNextListAt = aNow + kInitialBackoff + mListBackoff.Next();
   mStore.List(mOptions.mKind + "/", [self = shared_from_this()](
                                       Result<std::vector<ObjectName>> aNames) {
-    self->mLooking = false;
+    self->mListing = false;
     if (aNames) {
       self->OnListed(*aNames);
     }
@@ -125,7 +125,7 @@
     }
   }
   std::shuffle(found.begin(), found.end(), mRandom);
-  found.resize(std::min(found.size(), kMostFound));
+  found.resize(std::min(found.size(), kMaxFound));
   LogEvent(LogLevel::Info, "directory_read",
            { { "entries", aNames.size() }, { "taken", found.size() } });
   if (!found.empty()) {
@@ -137,8 +137,9 @@
 {
   mLeft = true;
   if (mOptions.mSelf && mRegistered) {
-    // If it fails the entry stays, stale; others only send it some datagrams.
-    mStore.Delete(OwnKey(), WriteCondition::Always(),
+    // If this fails, a stale entry remains; it costs other processes some
+    // datagrams only.
+    mStore.Delete(SelfKey(), WriteCondition::Always(),
                   [](const Result<std::uint64_t>&) {});
   }
 }
--- a/src/passthrough/BalancerDirectory.h
+++ b/src/passthrough/BalancerDirectory.h
@@ -16,27 +16,28 @@
 
 namespace heatherplank {
 
-/** Balancers' addresses in the store, for processes that find nobody by their
- * seeds.
+/** Addresses of balancers in the object store, for processes that reach no
+ * other process through their seeds.
  *
- * Failure met: the seeds of the settings were replaced or are cut off, and a
- * process starts. A balancer would route to no host, and an agent's host would
- * get no flow, until somebody edits settings. Each balancer writes its address
- * as the name of an object, once at its start and again when the store comes
- * back, in case entries were dropped; who is lost lists them, with pauses that
- * grow, and takes them for more seeds. An entry may be stale or of another
- * writer: it costs some datagrams, and nothing is believed because of it.
+ * Guards against: the seeds in the settings were replaced or are cut off when a
+ * process starts. A balancer would route to no host, and the host of an agent
+ * would get no flow, until an operator edits the settings. Each balancer writes
+ * its address as the name of an object, once at its start and again when the
+ * store becomes available again, in case entries were lost. A process without
+ * peers lists the entries, with backoff, and uses them as additional seeds. An
+ * entry may be stale or written by others: it costs some datagrams, and nothing
+ * is trusted because of it.
  *
  * Runs on one thread, that of the store's executor. */
 class BalancerDirectory : public std::enable_shared_from_this<BalancerDirectory>
 {
 public:
-  /** Addresses taken from one listing at most, picked at random. */
-  static constexpr std::size_t kMostFound = 16;
-  static constexpr Duration kFirstPause = std::chrono::milliseconds(500);
-  static constexpr Duration kLongestPause = std::chrono::seconds(10);
+  /** Maximum number of addresses used from one listing, picked at random. */
+  static constexpr std::size_t kMaxFound = 16;
+  static constexpr Duration kInitialBackoff = std::chrono::milliseconds(500);
+  static constexpr Duration kMaxBackoff = std::chrono::seconds(10);
 
-  /** Control addresses of balancers, not this process's own. */
+  /** Receives control addresses of balancers other than this process. */
   using OnFound = std::function<void(std::vector<Address>)>;
 
   struct Options
@@ -48,46 +49,46 @@
     std::uint64_t mSeed = 1;
   };
 
-  /** aStore must outlive it and its calls. */
+  /** aStore must outlive this object and its pending calls. */
   static std::shared_ptr<BalancerDirectory> Make(ObjectStore& aStore,
                                                  Options aOptions,
                                                  OnFound aOnFound);
 
-  /** aIsLost: no other process of ours was heard for a while. Call it some
-   * times a second. */
-  void OnTick(bool aIsLost, Time aNow);
+  /** Call some times a second. aHasNoPeers: no message of another process of
+   * this system arrived for a while. */
+  void OnTick(bool aHasNoPeers, Time aNow);
 
-  /** The store answers again: this balancer's entry may be gone. */
+  /** Call when the store is back: this balancer's entry may be gone. */
   void RegisterAgain();
 
-  /** A planned stop: takes the entry off. */
+  /** Call at a planned stop: deletes the entry of this balancer. */
   void Leave();
 
-  /** The name of an entry, and what it stands for; none if it is no name of
-   * ours. Thread safe. */
+  /** Convert an address to the name of its entry and back. Parse returns none
+   * if aName is not a valid name. Thread safe. */
   static std::string NameOf(const Address& aAddress);
   static std::optional<Address> Parse(std::string_view aName);
 
 private:
   BalancerDirectory(ObjectStore& aStore, Options aOptions, OnFound aOnFound);
 
-  std::string OwnKey() const;
+  std::string SelfKey() const;
   void Register(Time aNow);
-  void Look(Time aNow);
+  void ListEntries(Time aNow);
   void OnListed(const std::vector<ObjectName>& aNames);
 
   ObjectStore& mStore;
   const Options mOptions;
   const OnFound mOnFound;
   std::mt19937_64 mRandom;
-  Backoff mRegisterPause;
-  Backoff mLookPause;
+  Backoff mRegisterBackoff;
+  Backoff mListBackoff;
   bool mRegistered = false;
   bool mRegistering = false;
-  bool mLooking = false;
+  bool mListing = false;
   bool mLeft = false;
-  Time mRegisterAt{};
-  Time mLookAt{};
+  Time mNextRegisterAt{};
+  Time mNextListAt{};
 };
 
 } // namespace heatherplank
--- a/src/passthrough/BalancersInView.h
+++ b/src/passthrough/BalancersInView.h
@@ -9,8 +9,8 @@
 
 namespace heatherplank {
 
-/** The other balancers that a balancer believes alive, by their tunnel
- * addresses. Logs each that comes or goes. Not thread safe. */
+/** Tunnel addresses of the other balancers that this balancer believes alive.
+ * Logs each balancer that is added or removed. Not thread safe. */
 class BalancersInView
 {
 public:
--- a/src/passthrough/CandidateOrder.cpp
+++ b/src/passthrough/CandidateOrder.cpp
@@ -10,7 +10,7 @@
                                  const OrderInputs& aInputs)
 {
   auto group = [&](const Member* aIt) {
-    if (aInputs.mIsSuspect(aIt->mHost)) {
+    if (aInputs.mIsSuspected(aIt->mHost)) {
       return 2;
     }
     return aIt->mDataCentre == aInputs.mDataCentre ? 0 : 1;
--- a/src/passthrough/CandidateOrder.h
+++ b/src/passthrough/CandidateOrder.h
@@ -9,38 +9,39 @@
 
 namespace heatherplank {
 
-/** In which order hosts are asked to take a flow, or for a flow they may hold.
+/** Inputs to the order in which hosts are offered a new flow or are searched
+ * for an existing one.
  *
- * Within a group the rendezvous rank of the flow decides, which every balancer
- * works out alike without being told: a flow that one balancer placed is found
- * by another one by the same walk, mostly with the first host. Hosts of the
- * balancer's own data centre go first: they are nearer, and the walk leaves
- * the data centre only when no slot is free in it, so evenness costs nothing.
- * Hosts that gave no sign of life go last.
- */
+ * Hosts of the data centre of the balancer come first, then those of other data
+ * centres, then suspected hosts. Local hosts are nearer, and a packet is
+ * forwarded to another data centre only when no slot is free in the local one,
+ * so an even spread costs nothing. Within each group the rendezvous rank of the
+ * flow decides. Every balancer computes the same rank without coordination, so
+ * another balancer finds the flow along the same candidate list, mostly at the
+ * first host. */
 struct OrderInputs
 {
   DataCentreId mDataCentre;
-  /** Whether a host gave no sign of life when it was last needed. */
-  std::function<bool(HostId)> mIsSuspect;
+  /** Whether a host was unresponsive when it was last needed. */
+  std::function<bool(HostId)> mIsSuspected;
 };
 
-/** Hosts that may take a new flow. Thread safe if aInputs is. */
+/** Returns the hosts that may accept a new flow. Thread safe if aInputs is. */
 std::vector<const Member*> OrderForPlacement(const ServiceView& aView,
                                              std::uint64_t aFlowHash,
                                              const OrderInputs& aInputs);
 
-/** Most hosts that a search walks, in the flow's own order.
+/** Maximum number of hosts that a search covers, in the rank order of the flow.
  *
- * Failure met: members came between the placement and the search and pushed the
- * flow's host down its ranks; shown by a flow that no walk reaches. A host that
- * stood among the first eight of a part of the members stands among the first
- * 64 of all if that part was an eighth or more. A walk takes about half a
- * millisecond a host, and callers repeat a packet after 200 ms. */
+ * Guards against: members are added between placement and search and push the
+ * host of the flow down its ranks, so that no search reaches the flow. A host
+ * among the first eight of a part of the members is among the first 64 of all
+ * members if that part was an eighth or more. A search takes about half a
+ * millisecond per host, and callers repeat a packet after 200 ms. */
 constexpr std::size_t kMostSearched = 64;
 
-/** Hosts that may hold a flow, those that drain too. Thread safe if aInputs
- * is. */
+/** Returns the hosts that may hold a flow, including draining hosts. Thread
+ * safe if aInputs is. */
 std::vector<const Member*> OrderForSearch(const ServiceView& aView,
                                           std::uint64_t aFlowHash,
                                           const OrderInputs& aInputs);
--- a/src/passthrough/FlowBalancer.cpp
+++ b/src/passthrough/FlowBalancer.cpp
@@ -19,25 +19,25 @@
 
 namespace {
 
-constexpr auto kTick = std::chrono::milliseconds(50);
-constexpr auto kSecond = std::chrono::seconds(1);
-/** How long a balancer goes on routing after it said that it stops: readiness
- * is asked for twice a second and must be missed twice, and packets that are
- * on their way then still come. */
-constexpr auto kStopAfter = std::chrono::milliseconds(2000);
-/** Without any host in view a balancer that has routes waits this long for
- * heartbeats before it calls itself ready: were none ready, callers' packets
- * would go nowhere, where a ready one can refuse them at once. */
-constexpr auto kReadyWithoutHosts = std::chrono::milliseconds(3000);
-
-/** Heartbeats to seeds are answered within milliseconds, and a balancer that
- * starts repeats them every 50 ms; who has heard nobody after this looks into
- * the directory. */
-constexpr auto kLostAfter = std::chrono::milliseconds(120);
-/** After a standstill of this length routes are read anew: a shorter one leaves
- * the watch's connection alive, and a machine that is slow would call the store
- * again and again. */
-constexpr auto kStaleRoutesAfter = std::chrono::milliseconds(700);
+constexpr auto kTickInterval = std::chrono::milliseconds(50);
+constexpr auto kExportInterval = std::chrono::seconds(1);
+/** How long a balancer keeps routing after it reports that it stops: the fabric
+ * checks readiness twice a second and acts on two failed checks, and packets on
+ * their way still arrive after them. */
+constexpr auto kStopDelay = std::chrono::milliseconds(2000);
+/** A balancer that has routes but no host in view waits this long for
+ * heartbeats before it reports ready. If no balancer were ready, callers'
+ * packets would be lost, whereas a ready balancer can refuse them at once. */
+constexpr auto kHostWaitTimeout = std::chrono::milliseconds(3000);
+
+/** Seeds answer heartbeats within milliseconds, and a balancer that starts
+ * repeats its heartbeats every 50 ms. A balancer that knows no other process
+ * after this time reads the directory. */
+constexpr auto kNoPeersTimeout = std::chrono::milliseconds(120);
+/** Routes are read again after a process stall of at least this length. A
+ * shorter one leaves the connection of the watch alive, and a slow VM would
+ * query the store again and again. */
+constexpr auto kMinStallForRouteRead = std::chrono::milliseconds(700);
 
 } // namespace
 
@@ -55,7 +55,7 @@
                    mMembers.SetSeeds(std::move(aSeeds));
                  } })
     , mClock(mProcess.mClock)
-    , mPlaceTime(mProcess.mMetrics.GetHistogram("placement_ms"))
+    , mPlacementTime(mProcess.mMetrics.GetHistogram("placement_ms"))
     , mSteering({ mSelf.mTunnel, mSelf.mDataCentre, aSettings.mMaxHints },
                 aAdapter.Packets(), *this)
     , mMembers({ mClock, mProcess.mMetrics, mProcess.mMessages,
@@ -87,14 +87,14 @@
   const Member mSelf;
   PassthroughProcess mProcess;
   const Clock& mClock;
-  Histogram& mPlaceTime;
+  Histogram& mPlacementTime;
   FlowSteering mSteering;
   MemberPlane mMembers;
   InventoryExchange mRoutes;
   DataCentreDrains mDrains;
   boost::asio::steady_timer mRetryTimer;
   std::optional<Time> mRetryAt;
-  StandstillWatch mStandstill;
+  StandstillWatch mStallWatch;
   std::shared_ptr<DatagramSocket> mIngress;
   const Time mStartedAt;
   IsolationWatch mIsolation;
@@ -110,17 +110,18 @@
                   "send packets to another balancer");
     }
     if (!mSteering.Inventory()) {
-      return Fail(ErrorKind::Unavailable, "no routes yet",
-                  "look at the store and the other balancers");
+      return Fail(ErrorKind::Unavailable, "no routes received yet",
+                  "check the store and the other balancers");
     }
     if (mIsolated) {
-      return Fail(ErrorKind::Unavailable, "hardly any agent is heard",
-                  "mend the network of this machine");
+      return Fail(ErrorKind::Unavailable,
+                  "isolated: most agents are unresponsive",
+                  "check the network of this VM");
     }
-    bool waited = mClock.Now() - mStartedAt >= kReadyWithoutHosts;
-    if (mSteering.UsableHosts() == 0 && !waited) {
-      return Fail(ErrorKind::Unavailable, "no host was heard of yet",
-                  "wait for a heartbeat, or look at the agents");
+    bool hasWaited = mClock.Now() - mStartedAt >= kHostWaitTimeout;
+    if (mSteering.UsableHosts() == 0 && !hasWaited) {
+      return Fail(ErrorKind::Unavailable, "no usable host in view yet",
+                  "wait for a heartbeat, or check the agents");
     }
     return {};
   }
@@ -140,14 +141,14 @@
   {
     mSteering.OnStart(mClock.Now());
     mIngress->Start([this](ByteView aDatagram, const Address&) {
-      mSteering.OnPacket(aDatagram, CheckStandstill());
+      mSteering.OnPacket(aDatagram, CheckForStall());
       ArmRetry();
     });
     mProcess.mTunnel->Start([this](ByteView aDatagram, const Address& aFrom) {
       OnDatagram(aDatagram, aFrom);
     });
-    mProcess.mRuntime.Every(kTick, [this] { Tick(); });
-    mProcess.mRuntime.Every(kSecond, [this] { EverySecond(); });
+    mProcess.mRuntime.Every(kTickInterval, [this] { Tick(); });
+    mProcess.mRuntime.Every(kExportInterval, [this] { EverySecond(); });
     mProcess.mRuntime.OnStop([this] { Stop(); });
     mProcess.mRuntime.OnReload([this] { mProcess.OnReread(mReread()); });
     LogEvent(LogLevel::Info, "started",
@@ -160,48 +161,49 @@
 
   void Tick()
   {
-    Time now = CheckStandstill();
+    Time now = CheckForStall();
     mBalancers.Set(mMembers.Balancers());
-    JudgeIsolation(now);
-    TendDirectory(now);
+    EvaluateIsolation(now);
+    UpdateDirectory(now);
     mMembers.Tick();
     mRoutes.OnTick();
   }
 
-  /** The present, after a look whether this process just stood still: what it
-   * reads next may be as old as that. */
-  Time CheckStandstill()
+  /** Returns the current time. Checks first whether this process was just
+   * stalled: packets that it reads next may be as old as the stall. */
+  Time CheckForStall()
   {
     Time now = mClock.Now();
-    Duration gap = mStandstill.OnTick(now, StandstillWatch::SinceBoot());
+    Duration gap = mStallWatch.OnTick(now, StandstillWatch::SinceBoot());
     if (gap > Duration::zero()) {
-      OnStandstill(gap, now);
+      OnProcessStall(gap, now);
     }
     return now;
   }
 
-  /** Routes may have changed meanwhile, and the watch may be dead. */
-  void OnStandstill(Duration aGap, Time aNow)
+  /** Routes may have changed during the stall, and the connection of their
+   * watch may be dead. */
+  void OnProcessStall(Duration aGap, Time aNow)
   {
     auto ms = std::chrono::duration_cast<std::chrono::milliseconds>(aGap);
     LogEvent(LogLevel::Warning, "stood_still", { { "ms", ms.count() } });
     mSteering.OnStandstill(aNow);
-    mIsolation.OnStandstill(aNow);
+    mIsolation.OnProcessStall(aNow);
     mRoutes.OnStandstill();
-    if (aGap >= kStaleRoutesAfter) {
+    if (aGap >= kMinStallForRouteRead) {
       mRoutes.ReadNow();
     }
   }
 
-  void JudgeIsolation(Time aNow)
+  void EvaluateIsolation(Time aNow)
   {
     std::size_t agents = mMembers.Judged();
-    if (mIsolation.WantsToAsk(agents, aNow)) {
-      std::vector<Address> asked;
-      for (const Member& it : mMembers.AskSome(IsolationWatch::kAsked)) {
-        asked.push_back(it.mTunnel);
+    if (mIsolation.ShouldProbe(agents, aNow)) {
+      std::vector<Address> probed;
+      for (const Member& it : mMembers.AskSome(IsolationWatch::kProbeCount)) {
+        probed.push_back(it.mTunnel);
       }
-      mIsolation.OnAsked(std::move(asked), aNow);
+      mIsolation.OnProbed(std::move(probed), aNow);
     }
     bool isolated = mIsolation.IsIsolated(agents, aNow);
     if (isolated != mIsolated) {
@@ -211,15 +213,16 @@
     }
   }
 
-  void TendDirectory(Time aNow)
+  void UpdateDirectory(Time aNow)
   {
     bool storeAnswers = mRoutes.IsStoreAnswering();
     if (storeAnswers && !mStoreAnswered) {
       mProcess.RegisterAgain();
     }
     mStoreAnswered = storeAnswers;
-    bool nobody = mMembers.Balancers().empty() && mMembers.Size() == 0;
-    mProcess.TendDirectory(nobody && aNow - mStartedAt > kLostAfter, aNow);
+    bool hasNoPeers = mMembers.Balancers().empty() && mMembers.Size() == 0;
+    mProcess.TendDirectory(hasNoPeers && aNow - mStartedAt > kNoPeersTimeout,
+                           aNow);
   }
 
   void EverySecond()
@@ -243,7 +246,7 @@
       return;
     }
     if (!mBalancers.Contains(aFrom)) {
-      mIsolation.OnHeard(aFrom, mClock.Now());
+      mIsolation.OnMessage(aFrom, mClock.Now());
     }
     OnFrame(*frame);
   }
@@ -252,43 +255,43 @@
   {
     if (IsMembership(aFrame.mKind)) {
       mMembers.OnFrame(aFrame);
-      TellDrained(aFrame);
+      NotifyDrained(aFrame);
       return;
     }
-    bool taken = false;
+    bool handled = false;
     switch (aFrame.mKind) {
       case MessageKind::PlacementReport:
-        taken = Take(DecodePlacementReport(aFrame.mPayload));
+        handled = Handle(DecodePlacementReport(aFrame.mPayload));
         break;
       case MessageKind::SteeredPacket:
-        taken = Take(DecodeSteeredPacket(aFrame.mPayload));
+        handled = Handle(DecodeSteeredPacket(aFrame.mPayload));
         break;
       case MessageKind::InventoryNotice:
-        taken = Take(DecodeInventoryNotice(aFrame.mPayload));
+        handled = Handle(DecodeInventoryNotice(aFrame.mPayload));
         break;
       case MessageKind::InventoryDocument:
-        taken = Take(DecodeInventoryDocument(aFrame.mPayload));
+        handled = Handle(DecodeInventoryDocument(aFrame.mPayload));
         break;
       default:
         break;
     }
-    if (!taken) {
+    if (!handled) {
       mProcess.CountMalformed();
     }
   }
 
-  /** Answers the heartbeat of an agent in a drained data centre. */
-  void TellDrained(const Frame& aFrame)
+  /** Answers heartbeats from drained data centres with a DrainNotice. */
+  void NotifyDrained(const Frame& aFrame)
   {
     if (mDrains.mDataCentres.empty() ||
         aFrame.mKind != MessageKind::Heartbeat) {
       return;
     }
-    auto beat = DecodeHeartbeat(aFrame.mPayload);
-    if (!beat) {
+    auto heartbeat = DecodeHeartbeat(aFrame.mPayload);
+    if (!heartbeat) {
       return;
     }
-    const Member& agent = beat->mRecord.mMember;
+    const Member& agent = heartbeat->mRecord.mMember;
     bool isAgent = agent.mService != BalancerService();
     if (isAgent && mDrains.Contains(agent.mDataCentre)) {
       mProcess.mMessages.Send(agent.mControl, MessageKind::DrainNotice,
@@ -296,7 +299,7 @@
     }
   }
 
-  bool Take(const Result<PlacementReport>& aReport)
+  bool Handle(const Result<PlacementReport>& aReport)
   {
     if (aReport) {
       mSteering.OnReport(*aReport, mClock.Now());
@@ -304,7 +307,7 @@
     return aReport.has_value();
   }
 
-  bool Take(Result<SteeredPacket> aSteered)
+  bool Handle(Result<SteeredPacket> aSteered)
   {
     if (!aSteered || aSteered->mPurpose != SteerPurpose::NotHere) {
       return false;
@@ -313,7 +316,7 @@
     return true;
   }
 
-  bool Take(const Result<InventoryNotice>& aNotice)
+  bool Handle(const Result<InventoryNotice>& aNotice)
   {
     if (aNotice) {
       mRoutes.OnNotice(*aNotice);
@@ -321,7 +324,7 @@
     return aNotice.has_value();
   }
 
-  bool Take(const Result<InventoryDocument>& aDocument)
+  bool Handle(const Result<InventoryDocument>& aDocument)
   {
     if (aDocument) {
       mRoutes.OnDocument(*aDocument);
@@ -339,9 +342,12 @@
     mProcess.ToCaller(aCaller, aPacket);
   }
 
-  void Placed(Duration aTook) override { mPlaceTime.Record(InMs(aTook)); }
+  void Placed(Duration aElapsed) override
+  {
+    mPlacementTime.Record(InMs(aElapsed));
+  }
 
-  /** Wakes when the oldest unanswered opening packet is late. */
+  /** Sets the timer to the timeout of the oldest unanswered opening packet. */
   void ArmRetry()
   {
     auto next = mSteering.NextAt();
@@ -355,7 +361,7 @@
         return;
       }
       mRetryAt.reset();
-      // Answers that came while this process did not run go first.
+      // Answers that arrived while this process did not run are read first.
       mProcess.mTunnel->ReadNow();
       mSteering.OnTick(mClock.Now());
       ArmRetry();
@@ -366,7 +372,7 @@
   {
     mStopping = true;
     mMembers.Leave();
-    mProcess.StopAfter(kStopAfter);
+    mProcess.StopAfter(kStopDelay);
   }
 };
 
--- a/src/passthrough/FlowBalancer.h
+++ b/src/passthrough/FlowBalancer.h
@@ -9,25 +9,25 @@
 
 namespace heatherplank {
 
-/** A balancer process for opaque flows: its sockets, timers and parts, and how
- * they are joined. Everything runs on one thread. Decisions are made elsewhere:
- * FlowSteering, InventoryWatch, BalancerMembership.
- */
+/** A balancer process for opaque flows: creates and connects its sockets,
+ * timers and components. Everything runs on one thread. FlowSteering,
+ * InventoryWatch and BalancerMembership make the decisions. */
 class FlowBalancer
 {
 public:
   /** Reads the settings again. */
   using Reread = std::function<Result<FlowBalancerSettings>()>;
 
-  /** Opens every port; System with the remedy if one can't be had. aAdapter
-   * must outlive it. aReread is called when the settings may have changed. */
+  /** Opens all ports. Returns ErrorKind::System with a remedy if a port cannot
+   * be opened. aAdapter must outlive this object. aReread is called when the
+   * settings may have changed. */
   static Result<std::unique_ptr<FlowBalancer>> Make(
     const FlowBalancerSettings& aSettings, const PlatformAdapter& aAdapter,
     Reread aReread);
 
   ~FlowBalancer();
 
-  /** Runs until a planned stop has ended. */
+  /** Runs until a planned stop has completed. */
   void Run();
 
 private:
--- a/src/passthrough/FlowBalancerOptions.cpp
+++ b/src/passthrough/FlowBalancerOptions.cpp
@@ -10,7 +10,7 @@
 
 namespace {
 
-std::uint64_t SeedOf(const Member& aSelf)
+std::uint64_t MakeSeed(const Member& aSelf)
 {
   return MixHash(aSelf.mHost.mValue, aSelf.mIncarnation);
 }
@@ -34,11 +34,11 @@
   BalancerMembershipOptions options;
   options.mSeeds = std::move(aSeeds);
   options.mMonitors = kMonitorRule;
-  // Three heartbeats of an agent. Flows do not wait for it: a host that says
-  // nothing to an opening packet is tried last at once.
+  // Three heartbeats of an agent. Flows do not wait for it: a host that does
+  // not answer an opening packet is tried last at once.
   options.mTable.mSuspectAfter = std::chrono::milliseconds(1600);
   options.mTable.mRefuteWithin = std::chrono::milliseconds(1400);
-  // Ranks come from the full weight; the agent knows when its host is cold.
+  // Ranks use the full weight; the agent takes a cold host into account.
   options.mTable.mSlowStart = Duration::zero();
   return options;
 }
@@ -48,7 +48,7 @@
 {
   InventoryWatch::Options options;
   options.mKey = aSettings.mRoutesKey;
-  options.mSchedule.mSeed = SeedOf(aSelf);
+  options.mSchedule.mSeed = MakeSeed(aSelf);
   return options;
 }
 
@@ -57,7 +57,7 @@
 {
   DrainWatch::Options options;
   options.mKind = aSettings.mDrains;
-  options.mSchedule.mSeed = SeedOf(aSelf) + 1;
+  options.mSchedule.mSeed = MakeSeed(aSelf) + 1;
   return options;
 }
 
@@ -66,18 +66,18 @@
 {
   constexpr double kBytesPerMegabit = 125000;
   return { aSelf.mControl, aSettings.mLinkMbps * kBytesPerMegabit,
-           SeedOf(aSelf) };
+           MakeSeed(aSelf) };
 }
 
 StoreWatchDuty::Options MakeDutyOptions(const FlowBalancerSettings& aSettings,
                                         const Member& aSelf, Time aNow)
 {
-  std::uint32_t withinMs = aSettings.mRoutesInForceWithinMs;
+  std::uint32_t limitMs = aSettings.mRoutesInForceWithinMs;
   if (!aSettings.mDrains.empty()) {
-    withinMs = std::min(withinMs, aSettings.mDrainsInForceWithinMs);
+    limitMs = std::min(limitMs, aSettings.mDrainsInForceWithinMs);
   }
-  return { aSelf.mHost, aSelf.mDataCentre, std::chrono::milliseconds(withinMs),
-           aNow, SeedOf(aSelf) };
+  return { aSelf.mHost, aSelf.mDataCentre, std::chrono::milliseconds(limitMs),
+           aNow, MakeSeed(aSelf) };
 }
 
 } // namespace heatherplank
--- a/src/passthrough/FlowBalancerOptions.h
+++ b/src/passthrough/FlowBalancerOptions.h
@@ -9,10 +9,10 @@
 
 namespace heatherplank {
 
-/** What the settings of a balancer of opaque flows mean for its parts. All
- * thread safe. */
+/** Functions that convert the settings of a balancer of opaque flows to the
+ * options of its components. All are thread safe. */
 
-/** This balancer as a member: a new incarnation at each call. */
+/** Describes this balancer as a member, with a new incarnation at each call. */
 Member MakeSelf(const FlowBalancerSettings& aSettings);
 BalancerMembershipOptions MakeMembershipOptions(std::vector<Address> aSeeds);
 InventoryWatch::Options MakeWatchOptions(const FlowBalancerSettings& aSettings,
--- a/src/passthrough/FlowSearches.cpp
+++ b/src/passthrough/FlowSearches.cpp
@@ -4,31 +4,31 @@
 
 namespace heatherplank {
 
-FlowSearches::Verdict FlowSearches::OnPacket(const FlowKey& aFlow,
-                                             const SteeredPacket& aPacket,
-                                             Time aNow)
+FlowSearches::Decision FlowSearches::OnPacket(const FlowKey& aFlow,
+                                              const SteeredPacket& aPacket,
+                                              Time aNow)
 {
-  if (aNow - mForgotAt >= kRememberFor) {
-    Forget(aNow);
+  if (aNow - mLastExpiryAt >= kRetentionDuration) {
+    RemoveExpired(aNow);
   }
   auto it = mSearches.find(aFlow);
   if (it == mSearches.end()) {
-    if (mSearches.size() < kMostFlows) {
+    if (mSearches.size() < kMaxFlows) {
       mSearches.emplace(aFlow, Search{ aNow, 1, {} });
     }
     return { true, 0 };
   }
   Search& search = it->second;
-  if (aNow - search.mBeganAt >= kAnswerWithin) {
+  if (aNow - search.mStartedAt >= kAnswerTimeout) {
     DropHeld(search);
-    search.mBeganAt = aNow;
-    return { true, search.mTimes++ };
+    search.mStartedAt = aNow;
+    return { true, search.mAttempts++ };
   }
-  if (search.mHeld.size() < kMostHeld && mHeldInAll < kMostHeldInAll) {
+  if (search.mHeld.size() < kMaxHeldPerFlow && mHeldTotal < kMaxHeldTotal) {
     search.mHeld.push_back(aPacket);
-    ++mHeldInAll;
+    ++mHeldTotal;
   }
-  return { false, search.mTimes };
+  return { false, search.mAttempts };
 }
 
 std::vector<SteeredPacket> FlowSearches::TakeFound(const FlowKey& aFlow)
@@ -38,22 +38,22 @@
     return {};
   }
   std::vector<SteeredPacket> out = std::move(it->second.mHeld);
-  mHeldInAll -= out.size();
+  mHeldTotal -= out.size();
   mSearches.erase(it);
   return out;
 }
 
 void FlowSearches::DropHeld(Search& aSearch)
 {
-  mHeldInAll -= aSearch.mHeld.size();
+  mHeldTotal -= aSearch.mHeld.size();
   aSearch.mHeld.clear();
 }
 
-void FlowSearches::Forget(Time aNow)
+void FlowSearches::RemoveExpired(Time aNow)
 {
-  mForgotAt = aNow;
+  mLastExpiryAt = aNow;
   for (auto it = mSearches.begin(); it != mSearches.end();) {
-    if (aNow - it->second.mBeganAt < kRememberFor) {
+    if (aNow - it->second.mStartedAt < kRetentionDuration) {
       ++it;
       continue;
     }
--- a/src/passthrough/FlowSearches.h
+++ b/src/passthrough/FlowSearches.h
@@ -10,68 +10,70 @@
 
 namespace heatherplank {
 
-/** The searches that a balancer has under way for flows whose host it does not
- * know, and the packets that wait for one to end.
+/** Tracks a balancer's pending searches for flows whose host is unknown, and
+ * holds the packets that wait for a search to end.
  *
- * Failure met: the fabric moves an upload to another balancer, and the sixteen
- * packets that its caller has under way come at once. Searched for one by one,
- * each of them goes out many times, fills a link of 10 Mbit/s for a tenth of a
- * second, callers send again what is late, and the searches for the copies keep
- * the link full. Shown by a third of the opening packets unanswered within
- * 30 ms at balancers with thin links, and nearly half of the uploads not in
- * time, long before any fault. A flow is searched for once; what comes
- * meanwhile waits for the answer, which takes a few milliseconds, and goes
- * straight to its host.
+ * Guards against: the fabric moves an upload to another balancer, and the
+ * sixteen packets that its caller has in flight arrive at once. If each packet
+ * were searched for, it would be sent out many times and fill a link of 10
+ * Mbit/s for a tenth of a second; callers would retransmit late packets, and
+ * searches for the copies would keep the link full. At balancers with thin
+ * links, a third of the opening packets were not answered within 30 ms and
+ * nearly half of the uploads were late, long before any fault. So only one
+ * search per flow runs at a time. Packets that arrive meanwhile wait a few
+ * milliseconds for its result and go straight to the host.
  *
- * Pure; not thread safe.
- */
+ * No I/O or clock access; not thread safe. */
 class FlowSearches
 {
 public:
-  /** A search takes a few ms; after this it failed, what waits is dropped as if
-   * lost on the way, and the next packet begins another one. Callers repeat a
-   * packet after 200 ms. */
-  static constexpr Duration kAnswerWithin = std::chrono::milliseconds(60);
-  /** How long it is remembered that a flow was searched for: until then further
-   * searches begin at other hosts. A caller's repeats come within 1.6 s. */
-  static constexpr Duration kRememberFor = std::chrono::seconds(2);
-  /** Packets of one flow that wait at most: twice those that a caller has under
-   * way at once. */
-  static constexpr std::size_t kMostHeld = 32;
-  /** Packets that wait at most, of all flows: some 2 MB. */
-  static constexpr std::size_t kMostHeldInAll = 1024;
-  /** Flows remembered at most; what exceeds them is searched for each time. */
-  static constexpr std::size_t kMostFlows = 4096;
+  /** A search takes a few milliseconds. After this timeout it has failed: the
+   * packets that wait for it are dropped as if lost in the network, and the
+   * next packet starts another search. Callers repeat a packet after 200 ms. */
+  static constexpr Duration kAnswerTimeout = std::chrono::milliseconds(60);
+  /** How long a search is remembered. Further searches for the flow within this
+   * time begin at other hosts. A caller's repeats arrive within 1.6 s. */
+  static constexpr Duration kRetentionDuration = std::chrono::seconds(2);
+  /** Maximum number of packets held per flow: twice the number that a caller
+   * has in flight. */
+  static constexpr std::size_t kMaxHeldPerFlow = 32;
+  /** Maximum number of packets held for all flows together: some 2 MB. */
+  static constexpr std::size_t kMaxHeldTotal = 1024;
+  /** Maximum number of flows remembered. Each packet of a flow beyond this
+   * limit is searched for. */
+  static constexpr std::size_t kMaxFlows = 4096;
 
   /** What to do with a packet of a flow without a known host. */
-  struct Verdict
+  struct Decision
   {
-    /** Search for the flow with this packet; else it waits, or was dropped. */
+    /** Search for the flow with this packet. If false, the packet is held or
+     * was dropped. */
     bool mSearch = false;
-    /** Searches for the flow of late, without this one. */
-    std::uint32_t mEarlier = 0;
+    /** Number of recent searches for the flow, without this one. */
+    std::uint32_t mEarlierSearches = 0;
   };
 
-  Verdict OnPacket(const FlowKey& aFlow, const SteeredPacket& aPacket,
-                   Time aNow);
+  Decision OnPacket(const FlowKey& aFlow, const SteeredPacket& aPacket,
+                    Time aNow);
 
-  /** The flow's host is known: gives the packets that waited, in order. */
+  /** Ends the search for a flow whose host is now known. Returns the held
+   * packets in order. */
   std::vector<SteeredPacket> TakeFound(const FlowKey& aFlow);
 
 private:
   struct Search
   {
-    Time mBeganAt;
-    std::uint32_t mTimes = 0;
+    Time mStartedAt;
+    std::uint32_t mAttempts = 0;
     std::vector<SteeredPacket> mHeld;
   };
 
   void DropHeld(Search& aSearch);
-  void Forget(Time aNow);
+  void RemoveExpired(Time aNow);
 
   std::unordered_map<FlowKey, Search> mSearches;
-  std::size_t mHeldInAll = 0;
-  Time mForgotAt{};
+  std::size_t mHeldTotal = 0;
+  Time mLastExpiryAt{};
 };
 
 } // namespace heatherplank
--- a/src/passthrough/FlowSteering.cpp
+++ b/src/passthrough/FlowSteering.cpp
@@ -9,28 +9,30 @@
 
 namespace {
 
-/** Members of one service that are ranked by a scan: some 10 ns each for every
- * opening packet, where tables would cost 24 ms at each change of a member. At
- * 70 new flows a second, a scan of 4,096 is 0.3 % of a core. */
+/** Services with up to this many members are ranked by a scan. A scan costs
+ * some 10 ns per member for every opening packet; rank tables would cost 24 ms
+ * at each change of a member. At 70 new flows a second, a scan of 4,096 members
+ * takes 0.3 % of a core. */
 constexpr std::size_t kScanLimit = 4096;
 
-/** What waited in the sockets is read within this after a standstill: a few
- * thousand packets at 50 microseconds. */
-constexpr auto kQueueReadWithin = std::chrono::milliseconds(250);
+/** After a process stall, the backlog of the sockets is read within this time:
+ * a few thousand packets at 50 microseconds each. */
+constexpr auto kBacklogReadDuration = std::chrono::milliseconds(250);
 
-/** Copies of a datagram that the fabric makes come within this; the fault soak
- * delays them by 300 ms at most. Balancers are rarely in rotation so soon after
- * their start, so hardly any caller waits for its answer because of it. */
-constexpr auto kCopiesAfterStart = std::chrono::milliseconds(500);
+/** Copies that the fabric makes of a datagram sent before the start arrive
+ * within this time; the fault soak delays copies by at most 300 ms. Balancers
+ * are rarely in rotation so soon after their start, so hardly any caller waits
+ * longer for its answer because of it. */
+constexpr auto kDelayedCopyDuration = std::chrono::milliseconds(500);
 
-/** How long after its start a balancer may not have heard the hosts yet: two
- * heartbeats and a reading of the directory.
+/** For this long after its start, a balancer may not have discovered all hosts:
+ * two heartbeats and one read of the directory.
  *
- * Failure met: everything lost power and comes back; a balancer that is up
- * before the hosts refuses each caller, who tries three times within 30 ms and
- * gives up. Dropped, the opening packet is repeated after 200 ms, when the
- * hosts are there. */
-constexpr auto kHearHostsWithin = std::chrono::milliseconds(2000);
+ * Guards against: after a power loss of all VMs, a balancer that is up before
+ * the hosts refuses each caller, which tries three times within 30 ms and gives
+ * up. If the opening packet is dropped instead, the caller repeats it after 200
+ * ms, when the hosts are available. */
+constexpr auto kHostDiscoveryDuration = std::chrono::milliseconds(2000);
 
 } // namespace
 
@@ -53,30 +55,31 @@
 {
   mDrains = aDrains;
   mViews.SetDrains(aDrains);
-  TakeMembers();
+  UpdateMembers();
 }
 
 void FlowSteering::SetViews(std::span<const MemberViewPtr> aViews,
                             std::span<const ServiceId> aServices)
 {
   mViews.Set(aViews, aServices);
-  TakeMembers();
+  UpdateMembers();
 }
 
-void FlowSteering::TakeMembers()
+void FlowSteering::UpdateMembers()
 {
   std::unordered_map<HostId, Member> members;
-  for (const auto& [service, held] : mViews.All()) {
-    for (const Member& it : held.mView->Members()) {
+  for (const auto& [service, entry] : mViews.All()) {
+    for (const Member& it : entry.mView->Members()) {
       members.insert_or_assign(it.mHost, it);
     }
   }
   members.swap(mMembers);
-  LogChanges(members);
+  LogMemberChanges(members);
 }
 
-/** Says which hosts came, changed or went since aBefore. */
-void FlowSteering::LogChanges(
+/** Logs the hosts that were added, changed state or were removed since
+ * aBefore. */
+void FlowSteering::LogMemberChanges(
   const std::unordered_map<HostId, Member>& aBefore) const
 {
   for (const auto& [host, member] : mMembers) {
@@ -100,13 +103,14 @@
 void FlowSteering::OnStandstill(Time aNow)
 {
   mWatch.ForgetAll();
-  mStaleUntil = std::max(mStaleUntil, aNow + kQueueReadWithin);
+  mAssumeCopiesUntil =
+    std::max(mAssumeCopiesUntil, aNow + kBacklogReadDuration);
 }
 
 void FlowSteering::OnStart(Time aNow)
 {
-  mStaleUntil = aNow + kCopiesAfterStart;
-  mHearsUntil = aNow + kHearHostsWithin;
+  mAssumeCopiesUntil = aNow + kDelayedCopyDuration;
+  mHostDiscoveryUntil = aNow + kHostDiscoveryDuration;
 }
 
 std::size_t FlowSteering::UsableHosts() const
@@ -116,10 +120,10 @@
                   [](const auto& aIt) { return CanAdopt(aIt.second); }));
 }
 
-OrderInputs FlowSteering::Inputs(Time aNow) const
+OrderInputs FlowSteering::MakeOrderInputs(Time aNow) const
 {
   return { mOptions.mDataCentre, [this, aNow](HostId aHost) {
-            return mWatch.IsSuspect(aHost, aNow);
+            return mWatch.IsSuspected(aHost, aNow);
           } };
 }
 
@@ -148,13 +152,14 @@
 {
   auto packet = mFormat.Parse(aDatagram);
   if (!packet) {
-    Add(SteerEvent::Malformed);
+    Increment(SteerEvent::Malformed);
     return;
   }
-  // Judged by nothing, a packet is dropped as if it were lost on the way: told
-  // "no such route" by a balancer that just started, a caller would give up.
+  // Without routes the packet is dropped as if it were lost in the network: a
+  // caller that is refused for an unknown route by a balancer that just started
+  // would give up.
   if (!mInventory) {
-    Add(SteerEvent::DroppedNotReady);
+    Increment(SteerEvent::DroppedNotReady);
     return;
   }
   if (packet->mSyn) {
@@ -164,32 +169,32 @@
   }
 }
 
-void FlowSteering::RefuseOpen(const FlowKey& aFlow, SteerEvent aWhy)
+void FlowSteering::RefuseWithReset(const FlowKey& aFlow, SteerEvent aReason)
 {
-  Add(aWhy);
+  Increment(aReason);
   LogFlow("refused", { { "flow", aFlow.ToString() },
-                       { "why", ToString(aWhy) },
+                       { "why", ToString(aReason) },
                        { "routes_version", RoutesVersion() } });
   mOutput.ToCaller(aFlow.mCaller, mFormat.MakeReset(aFlow, 0));
 }
 
-/** A later copy is dropped: the first one may have opened the flow elsewhere,
- * and a refusal would reset it. */
-void FlowSteering::RefuseOrDrop(const FlowKey& aFlow, bool aIsLater,
-                                SteerEvent aWhy)
+/** Drops a later copy instead of refusing it: the first copy may have opened
+ * the flow elsewhere, and a refusal would reset it. */
+void FlowSteering::RefuseOrDrop(const FlowKey& aFlow, bool aIsLaterCopy,
+                                SteerEvent aReason)
 {
-  if (aIsLater) {
-    RefuseQuietly(aFlow, aWhy);
+  if (aIsLaterCopy) {
+    RefuseWithoutReset(aFlow, aReason);
   } else {
-    RefuseOpen(aFlow, aWhy);
+    RefuseWithReset(aFlow, aReason);
   }
 }
 
-void FlowSteering::RefuseQuietly(const FlowKey& aFlow, SteerEvent aWhy)
+void FlowSteering::RefuseWithoutReset(const FlowKey& aFlow, SteerEvent aReason)
 {
-  Add(SteerEvent::RefusedQuietly);
+  Increment(SteerEvent::RefusedQuietly);
   LogFlow("refused_quietly", { { "flow", aFlow.ToString() },
-                               { "why", ToString(aWhy) },
+                               { "why", ToString(aReason) },
                                { "routes_version", RoutesVersion() } });
 }
 
@@ -198,12 +203,12 @@
                                                             Time aNow)
 {
   std::vector<PlacementCandidate> out;
-  const auto* held = mViews.Find(aService);
-  if (held == nullptr) {
+  const auto* entry = mViews.Find(aService);
+  if (entry == nullptr) {
     return out;
   }
   for (const Member* it :
-       OrderForPlacement(*held->mView, aHash, Inputs(aNow))) {
+       OrderForPlacement(*entry->mView, aHash, MakeOrderInputs(aNow))) {
     out.push_back({ it->mHost, it->mTunnel });
   }
   return out;
@@ -225,35 +230,35 @@
   FlowKey flow = aPacket.FlowFromCaller();
   std::uint64_t hash = HashFlow(flow);
   const Member* hinted = HintedMember(hash);
-  bool isLater = aPacket.mRepeats > 0 || hinted != nullptr ||
-                 mWatch.IsWatched(flow) || aNow < mStaleUntil;
+  bool isLaterCopy = aPacket.mRepeats > 0 || hinted != nullptr ||
+                     mWatch.IsWatched(flow) || aNow < mAssumeCopiesUntil;
   const FlowRoute* route = mInventory->Find(flow.mService);
   if (route == nullptr) {
-    RefuseOrDrop(flow, isLater, SteerEvent::RefusedNoRoute);
+    RefuseOrDrop(flow, isLaterCopy, SteerEvent::RefusedNoRoute);
     return;
   }
   ServiceId service = route->ServiceOf(hash);
   auto candidates = CandidatesFor(service, hash, aNow);
   SteeredPacket steered =
     MakeSteered(route, service, SteerPurpose::Place, aDatagram);
-  // A copy of an opening packet goes to the host that answered the first one,
-  // if any: there it opens nothing new.
-  bool isHintOfUse = hinted != nullptr && hinted->mService == service &&
-                     !mDrains.Contains(hinted->mDataCentre);
-  if (isHintOfUse) {
+  // A copy of an opening packet goes to the host that answered the first copy,
+  // if any: that host opens no second flow.
+  bool isHintUsable = hinted != nullptr && hinted->mService == service &&
+                      !mDrains.Contains(hinted->mDataCentre);
+  if (isHintUsable) {
     std::erase_if(candidates, [&](const PlacementCandidate& aIt) {
       return aIt.mHost == hinted->mHost;
     });
     candidates.insert(candidates.begin(), { hinted->mHost, hinted->mTunnel });
   }
   if (candidates.empty()) {
-    RefuseOrDrop(flow, isLater || aNow < mHearsUntil,
+    RefuseOrDrop(flow, isLaterCopy || aNow < mHostDiscoveryUntil,
                  SteerEvent::RefusedNoHost);
     return;
   }
-  Add(SteerEvent::Offered);
+  Increment(SteerEvent::Offered);
   Offer(flow, std::move(steered), std::move(candidates),
-        isLater ? PlacementWatch::Copy::Later : PlacementWatch::Copy::First,
+        isLaterCopy ? PlacementWatch::Copy::Later : PlacementWatch::Copy::First,
         aNow);
 }
 
@@ -276,15 +281,15 @@
 
 void FlowSteering::OnTick(Time aNow)
 {
-  for (auto& it : mWatch.TakeLate(aNow)) {
+  for (auto& it : mWatch.TakeTimedOut(aNow)) {
     LogEvent(LogLevel::Warning, "offer_unanswered",
              { { "flow", it.mFlow.ToString() },
-               { "host", it.mSilent.ToString() },
+               { "host", it.mUnresponsive.ToString() },
                { "others", it.mCandidates.size() } });
     if (it.mCandidates.empty()) {
       continue;
     }
-    Add(SteerEvent::OfferedAgain);
+    Increment(SteerEvent::OfferedAgain);
     Offer(it.mFlow, std::move(it.mSteered), std::move(it.mCandidates),
           PlacementWatch::Copy::Later, aNow, it.mRetries);
   }
@@ -297,14 +302,14 @@
   std::uint64_t hash = HashFlow(flow);
   const FlowRoute* route = mInventory->Find(flow.mService);
   if (const Member* member = HintedMember(hash)) {
-    Add(SteerEvent::Hinted);
+    Increment(SteerEvent::Hinted);
     mOutput.Steer(
       member->mTunnel,
       MakeSteered(route, member->mService, SteerPurpose::Deliver, aDatagram));
     return;
   }
   if (route == nullptr) {
-    Add(SteerEvent::DroppedNoRoute);
+    Increment(SteerEvent::DroppedNoRoute);
     return;
   }
   SearchAll(flow, *route,
@@ -314,7 +319,7 @@
 
 void FlowSteering::OnReport(const PlacementReport& aReport, Time aNow)
 {
-  mWatch.Clear(aReport.mHost);
+  mWatch.ClearSuspicion(aReport.mHost);
   if (aReport.mOutcome == PlacementOutcome::Placed) {
     if (auto sentAt = mWatch.End(aReport.mFlow)) {
       mOutput.Placed(aNow - *sentAt);
@@ -324,9 +329,9 @@
     return;
   }
   if (mWatch.EndRefused(aReport.mFlow, aNow)) {
-    RefuseOpen(aReport.mFlow, SteerEvent::RefusedByHosts);
+    RefuseWithReset(aReport.mFlow, SteerEvent::RefusedByHosts);
   } else {
-    RefuseQuietly(aReport.mFlow, SteerEvent::RefusedByHosts);
+    RefuseWithoutReset(aReport.mFlow, SteerEvent::RefusedByHosts);
   }
 }
 
--- a/src/passthrough/FlowSteering.h
+++ b/src/passthrough/FlowSteering.h
@@ -20,83 +20,87 @@
 
 namespace heatherplank {
 
-/** Where the decisions of FlowSteering go. */
+/** Receives the decisions of FlowSteering. */
 class FlowSteeringOutput
 {
 public:
   virtual ~FlowSteeringOutput() = default;
 
   virtual void Steer(const Address& aAgent, const SteeredPacket& aPacket) = 0;
-  /** aCaller: the caller's end of the flow. */
+  /** Sends a packet to the caller at the address aCaller. */
   virtual void ToCaller(const Address& aCaller, ByteView aPacket) = 0;
-  /** How long an opening packet took to find a host that answered it. */
-  virtual void Placed(Duration aTook) = 0;
+  /** A host answered an opening packet. aElapsed: time since its last offer, or
+   * since PlacementWatch restarted the timeout of the offer. */
+  virtual void Placed(Duration aElapsed) = 0;
 };
 
-/** The balancer's decisions for packets of opaque flows. Holds nothing that
- * matters: routes and members are given to it, where a flow is may be
- * forgotten and is found again by asking the hosts in the flow's own order.
- * Pure; not thread safe.
- */
+/** Decides where a balancer forwards packets of opaque flows. All state is
+ * soft: routes and members are supplied from outside, and the host of a
+ * forgotten flow is found again by querying the hosts in the candidate order of
+ * the flow.
+ *
+ * No I/O or clock access; not thread safe. */
 class FlowSteering
 {
 public:
   struct Options
   {
-    /** Where agents reach this balancer. */
+    /** Address at which agents reach this balancer. */
     Address mSelf;
     DataCentreId mDataCentre;
-    /** Flows whose host is remembered. */
+    /** Maximum number of flows whose host is cached. */
     std::size_t mMaxHints = 65536;
   };
 
-  /** aFormat and aOutput must outlive it. */
+  /** aFormat and aOutput must outlive this object. */
   FlowSteering(const Options& aOptions, const PacketFormat& aFormat,
                FlowSteeringOutput& aOutput);
 
   void SetInventory(FlowInventoryPtr aInventory);
 
-  /** Data centres were drained or taken back. Flows that are open at their
-   * hosts stay; no opening packet goes there, not even the copy of one that
-   * did, and where no other host is left callers are refused: what the operator
-   * takes away is about to lose power. */
+  /** Sets the drained data centres. Flows that are open in a drained data
+   * centre stay there. No opening packet goes there, not even a copy of a
+   * packet that was offered there before the drain. If no other host is left,
+   * callers are refused, because a drained data centre is about to lose
+   * power. */
   void SetDrains(const DataCentreDrains& aDrains);
   void SetViews(std::span<const MemberViewPtr> aViews,
                 std::span<const ServiceId> aServices);
 
-  /** A packet of a caller. */
+  /** Handles a packet from a caller. */
   void OnPacket(ByteView aDatagram, Time aNow);
 
-  /** A packet that an agent gave back: it does not hold the flow. */
+  /** An agent returned the packet because its host does not hold the flow. */
   void OnNotHere(SteeredPacket aSteered, Time aNow);
 
   void OnReport(const PlacementReport& aReport, Time aNow);
 
-  /** This process did not run for a while. Call it before any packet that came
-   * meanwhile.
+  /** Call after a process stall, before passing in any packet that arrived
+   * during the stall.
    *
-   * Failure met: an opening packet waited in the socket of a balancer that
-   * stood still, and its caller opened the flow by a copy at another one. Taken
-   * for a first offer, a refusal of it resets the open flow. So for a moment
-   * every opening packet counts as a later copy. */
+   * Guards against: an opening packet waits in the socket of a stalled balancer
+   * while its caller opens the flow through another balancer with a copy. If
+   * the waiting packet counted as the first offer, its refusal would reset the
+   * open flow. So every opening packet counts as a later copy for a short time
+   * after the stall. */
   void OnStandstill(Time aNow);
 
-  /** This process has just started.
+  /** Call once when the process has started.
    *
-   * Failure met: its former life offered a flow that is open by now; a copy of
-   * the opening packet, doubled or late in the fabric, meets the new one, which
-   * knows no host and resets the flow. Shown by a refusal some milliseconds
-   * after a start. The former life's offers can't be known, so for a moment
-   * every opening packet counts as a later copy. */
+   * Guards against: the previous incarnation offered a flow that is open by
+   * now, and a duplicated or delayed copy of the opening packet reaches the new
+   * incarnation. It knows no host for the flow and resets it, some milliseconds
+   * after its start. The offers of the previous incarnation are unknown, so
+   * every opening packet counts as a later copy for a short time. */
   void OnStart(Time aNow);
 
-  /** Call it at NextAt, or later. */
+  /** Call at NextAt() or later. */
   void OnTick(Time aNow);
   std::optional<Time> NextAt() const { return mWatch.NextAt(); }
 
   const FlowInventoryPtr& Inventory() const { return mInventory; }
 
-  /** Hosts in view that take new flows. */
+  /** Number of hosts in view that accept new flows. */
   std::size_t UsableHosts() const;
 
   std::uint64_t Count(SteerEvent aEvent) const
@@ -105,33 +109,38 @@
   }
 
 private:
-  void TakeMembers();
-  void LogChanges(const std::unordered_map<HostId, Member>& aBefore) const;
+  void UpdateMembers();
+  void LogMemberChanges(
+    const std::unordered_map<HostId, Member>& aBefore) const;
   void Open(const FlowPacket& aPacket, ByteView aDatagram, Time aNow);
   void Forward(const FlowPacket& aPacket, ByteView aDatagram, Time aNow);
   void SearchAll(const FlowKey& aFlow, const FlowRoute& aRoute,
                  SteeredPacket aSteered, std::uint64_t aHash, Time aNow);
   void Search(const FlowKey& aFlow, SteeredPacket aSteered, std::uint64_t aHash,
-              std::uint32_t aEarlier, Time aNow);
+              std::uint32_t aEarlierSearches, Time aNow);
   void DeliverFound(const PlacementReport& aReport);
   void Offer(const FlowKey& aFlow, SteeredPacket aSteered,
              std::vector<PlacementCandidate> aCandidates,
              PlacementWatch::Copy aCopy, Time aNow, int aRetries = 0);
-  void RefuseOpen(const FlowKey& aFlow, SteerEvent aWhy);
-  void RefuseQuietly(const FlowKey& aFlow, SteerEvent aWhy);
-  void RefuseOrDrop(const FlowKey& aFlow, bool aIsLater, SteerEvent aWhy);
+  void RefuseWithReset(const FlowKey& aFlow, SteerEvent aReason);
+  void RefuseWithoutReset(const FlowKey& aFlow, SteerEvent aReason);
+  void RefuseOrDrop(const FlowKey& aFlow, bool aIsLaterCopy,
+                    SteerEvent aReason);
   const Member* HintedMember(std::uint64_t aHash);
   std::vector<PlacementCandidate> CandidatesFor(ServiceId aService,
                                                 std::uint64_t aHash, Time aNow);
-  OrderInputs Inputs(Time aNow) const;
+  OrderInputs MakeOrderInputs(Time aNow) const;
   SteeredPacket MakeSteered(const FlowRoute* aRoute, ServiceId aService,
                             SteerPurpose aPurpose, ByteView aDatagram) const;
-  /** 0 before any are known. */
+  /** 0 before any routes are known. */
   std::uint64_t RoutesVersion() const
   {
     return mInventory ? mInventory->mVersion : 0;
   }
-  void Add(SteerEvent aEvent) { ++mCounts[static_cast<std::size_t>(aEvent)]; }
+  void Increment(SteerEvent aEvent)
+  {
+    ++mCounts[static_cast<std::size_t>(aEvent)];
+  }
 
   const Options mOptions;
   const PacketFormat& mFormat;
@@ -139,16 +148,17 @@
   FlowInventoryPtr mInventory;
   DataCentreDrains mDrains;
   ServiceViews mViews;
-  /** Every host in view, for hints. */
+  /** All hosts in view, for looking up hints. */
   std::unordered_map<HostId, Member> mMembers;
   HintCache mHints;
   PlacementWatch mWatch;
   FlowSearches mSearches;
-  /** Until then packets may have waited for this process to run. */
-  Time mStaleUntil{};
-  /** Until then a service without hosts may have hosts that were not heard
-   * yet. */
-  Time mHearsUntil{};
+  /** Until this time every opening packet counts as a later copy. */
+  Time mAssumeCopiesUntil{};
+  /** Until this time the hosts of a service may not have been discovered yet,
+   * so an opening packet for a service without hosts is dropped instead of
+   * refused. */
+  Time mHostDiscoveryUntil{};
   std::array<std::uint64_t, static_cast<std::size_t>(SteerEvent::Last) + 1>
     mCounts{};
 };
--- a/src/passthrough/FlowSteeringSearch.cpp
+++ b/src/passthrough/FlowSteeringSearch.cpp
@@ -1,4 +1,4 @@
-// Searches: how a balancer finds the host of a flow that it does not know.
+// FlowSteering's searches for the host of a flow that has no hint.
 #include <algorithm>
 #include <random>
 #include <utility>
@@ -11,8 +11,8 @@
 
 namespace {
 
-/** Another order for each search of a flow, so that a repeat passes a dead
- * agent at another place. */
+/** Orders each repeated search of a flow differently, so that an unresponsive
+ * agent hides other hosts each time. */
 void Shuffle(std::vector<Address>& aOrder, std::uint64_t aSeed)
 {
   std::minstd_rand random(static_cast<std::uint32_t>(aSeed));
@@ -21,55 +21,57 @@
 
 } // namespace
 
-/** Weights may have changed since the flow was opened, so each service of its
- * route may hold it. */
+/** Searches each service of the route: its weights may have changed since the
+ * flow was opened. */
 void FlowSteering::SearchAll(const FlowKey& aFlow, const FlowRoute& aRoute,
                              SteeredPacket aSteered, std::uint64_t aHash,
                              Time aNow)
 {
-  auto verdict = mSearches.OnPacket(aFlow, aSteered, aNow);
-  if (!verdict.mSearch) {
-    Add(SteerEvent::HeldForSearch);
+  auto decision = mSearches.OnPacket(aFlow, aSteered, aNow);
+  if (!decision.mSearch) {
+    Increment(SteerEvent::HeldForSearch);
     return;
   }
   for (const RouteShare& it : aRoute.mShares) {
     aSteered.mService = it.mService;
-    Search(aFlow, aSteered, aHash, verdict.mEarlier, aNow);
+    Search(aFlow, aSteered, aHash, decision.mEarlierSearches, aNow);
   }
 }
 
 void FlowSteering::Search(const FlowKey& aFlow, SteeredPacket aSteered,
-                          std::uint64_t aHash, std::uint32_t aEarlier,
+                          std::uint64_t aHash, std::uint32_t aEarlierSearches,
                           Time aNow)
 {
-  const auto* held = mViews.Find(aSteered.mService);
+  const auto* entry = mViews.Find(aSteered.mService);
   std::vector<Address> hosts;
-  if (held != nullptr) {
-    for (const Member* it : OrderForSearch(*held->mView, aHash, Inputs(aNow))) {
+  if (entry != nullptr) {
+    for (const Member* it :
+         OrderForSearch(*entry->mView, aHash, MakeOrderInputs(aNow))) {
       hosts.push_back(it->mTunnel);
     }
   }
   if (hosts.empty()) {
-    Add(SteerEvent::DroppedNotReady);
+    Increment(SteerEvent::DroppedNotReady);
     return;
   }
-  // The first search begins at the hosts that most likely hold the flow.
-  if (aEarlier > 0) {
-    Shuffle(hosts, aHash + aEarlier);
+  // The first search keeps the order, which begins with the hosts that most
+  // likely hold the flow.
+  if (aEarlierSearches > 0) {
+    Shuffle(hosts, aHash + aEarlierSearches);
   }
-  Add(SteerEvent::Searched);
+  Increment(SteerEvent::Searched);
   LogFlow("searched", { { "flow", aFlow.ToString() },
                         { "first", hosts.front().ToString() },
                         { "others", hosts.size() - 1 },
-                        { "earlier", aEarlier } });
+                        { "earlier", aEarlierSearches } });
   aSteered.mPurpose = SteerPurpose::FanOut;
-  for (SearchWalk& it : DealWalks(hosts, kFanOuts)) {
+  for (SearchWalk& it : DealWalks(hosts, kFanOutAgents)) {
     aSteered.mCandidates = std::move(it.mOthers);
     mOutput.Steer(it.mFirst, aSteered);
   }
 }
 
-/** Sends what waited for a search to the flow's host. */
+/** Sends the packets that waited for the search to the host of the flow. */
 void FlowSteering::DeliverFound(const PlacementReport& aReport)
 {
   auto held = mSearches.TakeFound(aReport.mFlow);
@@ -89,15 +91,16 @@
 {
   auto packet = mFormat.Parse(aSteered.mPacket);
   if (!packet) {
-    Add(SteerEvent::Malformed);
+    Increment(SteerEvent::Malformed);
     return;
   }
-  Add(SteerEvent::HintWrong);
+  Increment(SteerEvent::HintWrong);
   FlowKey flow = packet->FlowFromCaller();
   LogFlow("hint_wrong", { { "flow", flow.ToString() } });
   std::uint64_t hash = HashFlow(flow);
   mHints.Erase(hash);
-  // A packet of this balancer's former life may come back before it has routes.
+  // A packet sent by an earlier incarnation may be returned before this one has
+  // routes.
   const FlowRoute* route =
     mInventory ? mInventory->Find(flow.mService) : nullptr;
   if (route != nullptr) {
--- a/src/passthrough/IsolationWatch.h
+++ b/src/passthrough/IsolationWatch.h
@@ -11,112 +11,119 @@
 
 namespace heatherplank {
 
-/** Notices that a balancer hears hardly any agent.
+/** Detects that a balancer is isolated, that is, receives messages from hardly
+ * any agent.
  *
- * Failure met: a balancer is cut off from the hosts but not from callers. It
- * has routes and hosts in view, calls itself ready, and every packet that the
- * fabric hands it is lost for as long as the cut lasts. Shown by offers that
- * all go unanswered, at some balancers only. Other balancers behind the same
- * cut may well be heard, and agents that started after it, so the share of the
- * agents in view counts: each sends heartbeats, and silence of most of them at
- * once is far more often this balancer's own. Where most agents did die, one
- * that is not ready costs callers the half second until the fabric asks again.
+ * Guards against: a balancer is cut off from the hosts but not from callers. It
+ * has routes and hosts in view, reports itself ready, and every packet that the
+ * fabric sends it is lost for as long as the cut lasts; offers all go
+ * unanswered, at some balancers only. Other balancers behind the same cut, and
+ * agents that started after it, may still be reachable, so the share of the
+ * agents in view counts. Each agent sends heartbeats, and if most agents are
+ * unresponsive at once, the fault is far more often this balancer's. Where most
+ * agents did fail, a balancer that is not ready costs callers the half second
+ * until the fabric checks readiness again.
  *
- * Failure met: silence is no proof either. Hundreds of machines come back from
- * a power loss, each agent greets every balancer that it hears of and then
- * beats to its few monitors only; balancers that believe that they judge the
- * others hear no more of them, call themselves cut off one after the other, and
- * the fabric moves nearly all flows each time. Shown by balancers that are
- * isolated for a second or so, just after everything returned. So silence makes
- * a balancer ask some agents, and only those that do not answer count.
+ * Guards against: missing heartbeats alone prove no isolation. When hundreds of
+ * VMs return from a power loss, each agent greets every balancer that it learns
+ * of and then sends heartbeats to its few monitors only. Balancers that believe
+ * that they monitor the other agents receive nothing more from them, report
+ * isolation one after the other for a second or so, and the fabric moves nearly
+ * all flows each time. So a balancer that misses heartbeats probes some agents,
+ * and only agents that do not answer the probe count.
  *
- * Not thread safe.
- */
+ * Not thread safe. */
 class IsolationWatch
 {
 public:
-  /** Heartbeats come every 500 ms from each agent: one, and some slack. A lost
-   * one matters little, as a third of the agents is enough. */
-  static constexpr Duration kSilentAfter = std::chrono::milliseconds(750);
-  /** Of so many agents one must be heard. */
-  static constexpr std::size_t kOneOf = 3;
-  /** Agents that are silent for this long are forgotten here, unless the
-   * silence is this balancer's own; membership has judged them by then. */
-  static constexpr Duration kForgetAfter = std::chrono::seconds(10);
-  /** Agents that are asked at once. */
-  static constexpr std::size_t kAsked = 12;
-  /** Those that are reached answer within some ms; a scheduler that gives them
-   * their share once in 100 ms may hold the answer back that long. */
-  static constexpr Duration kAnswerWithin = std::chrono::milliseconds(200);
-  static constexpr Duration kAskEvery = std::chrono::milliseconds(500);
+  /** The heartbeat interval of the agents, 500 ms, and some slack. A lost
+   * heartbeat matters little, as a third of the agents is enough. */
+  static constexpr Duration kHeartbeatTimeout = std::chrono::milliseconds(750);
+  /** At least one in this many agents must be responsive. */
+  static constexpr std::size_t kResponsiveDivisor = 3;
+  /** Agents that are unresponsive for this long are removed here, unless this
+   * balancer is isolated; membership has evaluated them by then. */
+  static constexpr Duration kAgentExpiry = std::chrono::seconds(10);
+  /** Number of agents that are probed at once. */
+  static constexpr std::size_t kProbeCount = 12;
+  /** Reachable agents answer within some milliseconds; a scheduler that runs
+   * them once in 100 ms may delay the answer by as much. */
+  static constexpr Duration kProbeTimeout = std::chrono::milliseconds(200);
+  static constexpr Duration kProbeInterval = std::chrono::milliseconds(500);
 
-  /** A message of an agent came. */
-  void OnHeard(const Address& aAgent, Time aNow) { mHeard[aAgent] = aNow; }
+  /** A message from an agent arrived. */
+  void OnMessage(const Address& aAgent, Time aNow)
+  {
+    mLastMessageAt[aAgent] = aNow;
+  }
 
-  /** This process stood still: silence until now was its own. */
-  void OnStandstill(Time aNow)
+  /** Call after a process stall. Counts all known agents as responsive now,
+   * since this process was not running to receive their messages. */
+  void OnProcessStall(Time aNow)
   {
-    for (auto& [agent, at] : mHeard) {
+    for (auto& [agent, at] : mLastMessageAt) {
       at = aNow;
     }
-    mAsked.clear();
+    mProbedAgents.clear();
   }
 
-  /** Whether most agents are silent and some are to be asked why. aAgents:
-   * those in view that beat to this balancer. False before any was heard: a
-   * balancer that starts before its agents is not cut off. */
-  bool WantsToAsk(std::size_t aAgents, Time aNow) const
+  /** Whether most agents are unresponsive and some should be probed. aAgents:
+   * number of agents in view that send heartbeats to this balancer. False
+   * before the first message of an agent: a balancer that starts before its
+   * agents is not isolated. */
+  bool ShouldProbe(std::size_t aAgents, Time aNow) const
   {
-    bool isAsking = !mAsked.empty() && aNow - mAskedAt < kAskEvery;
-    return AreMostSilent(aAgents, aNow) && !isAsking;
+    bool isProbing =
+      !mProbedAgents.empty() && aNow - mProbedAt < kProbeInterval;
+    return AreMostUnresponsive(aAgents, aNow) && !isProbing;
   }
 
-  /** Some agents in view were asked, whichever balancers they beat to. */
-  void OnAsked(std::vector<Address> aAgents, Time aNow)
+  /** Some agents in view were probed, whichever balancers they send heartbeats
+   * to. */
+  void OnProbed(std::vector<Address> aAgents, Time aNow)
   {
-    mAsked = std::move(aAgents);
-    mAskedAt = aNow;
+    mProbedAgents = std::move(aAgents);
+    mProbedAt = aNow;
   }
 
-  /** Call it after WantsToAsk, some ten times a second. */
+  /** Call after ShouldProbe(), some ten times a second. */
   bool IsIsolated(std::size_t aAgents, Time aNow)
   {
     if (!mIsIsolated) {
-      std::erase_if(mHeard, [&](const auto& aIt) {
-        return aNow - aIt.second > kForgetAfter;
+      std::erase_if(mLastMessageAt, [&](const auto& aIt) {
+        return aNow - aIt.second > kAgentExpiry;
       });
     }
-    if (!AreMostSilent(aAgents, aNow)) {
-      mAsked.clear();
+    if (!AreMostUnresponsive(aAgents, aNow)) {
+      mProbedAgents.clear();
       mIsIsolated = false;
-    } else if (!mAsked.empty() && aNow - mAskedAt >= kAnswerWithin) {
-      mIsIsolated = Answered() * kOneOf < mAsked.size();
+    } else if (!mProbedAgents.empty() && aNow - mProbedAt >= kProbeTimeout) {
+      mIsIsolated = CountAnswered() * kResponsiveDivisor < mProbedAgents.size();
     }
     return mIsIsolated;
   }
 
 private:
-  bool AreMostSilent(std::size_t aAgents, Time aNow) const
+  bool AreMostUnresponsive(std::size_t aAgents, Time aNow) const
   {
-    auto heard = static_cast<std::size_t>(
-      std::count_if(mHeard.begin(), mHeard.end(), [&](const auto& aIt) {
-        return aNow - aIt.second <= kSilentAfter;
-      }));
-    return !mHeard.empty() && heard * kOneOf < aAgents;
+    auto responsive = static_cast<std::size_t>(std::count_if(
+      mLastMessageAt.begin(), mLastMessageAt.end(),
+      [&](const auto& aIt) { return aNow - aIt.second <= kHeartbeatTimeout; }));
+    return !mLastMessageAt.empty() && responsive * kResponsiveDivisor < aAgents;
   }
 
-  std::size_t Answered() const
+  std::size_t CountAnswered() const
   {
-    return static_cast<std::size_t>(
-      std::count_if(mAsked.begin(), mAsked.end(), [&](const Address& aIt) {
-        auto heard = mHeard.find(aIt);
-        return heard != mHeard.end() && heard->second >= mAskedAt;
+    return static_cast<std::size_t>(std::count_if(
+      mProbedAgents.begin(), mProbedAgents.end(), [&](const Address& aIt) {
+        auto it = mLastMessageAt.find(aIt);
+        return it != mLastMessageAt.end() && it->second >= mProbedAt;
       }));
   }
 
-  std::unordered_map<Address, Time> mHeard;
-  std::vector<Address> mAsked;
-  Time mAskedAt{};
+  std::unordered_map<Address, Time> mLastMessageAt;
+  std::vector<Address> mProbedAgents;
+  Time mProbedAt{};
   bool mIsIsolated = false;
 };
 
--- a/src/passthrough/PlacementWatch.cpp
+++ b/src/passthrough/PlacementWatch.cpp
@@ -8,7 +8,7 @@
                            std::vector<PlacementCandidate> aCandidates,
                            Copy aCopy, Time aNow, int aRetries)
 {
-  if (mWatched.size() >= kMostWatched) {
+  if (mWatched.size() >= kMaxWatched) {
     return;
   }
   mWatched.insert_or_assign(
@@ -38,10 +38,10 @@
   if (it == mWatched.end()) {
     return false;
   }
-  bool isOnly = it->second.mCopy == Copy::First &&
-                aNow - it->second.mOfferedAt < kOnlyCopyFor;
+  bool isOnlyCopy = it->second.mCopy == Copy::First &&
+                    aNow - it->second.mOfferedAt < kSingleCopyDuration;
   mWatched.erase(it);
-  return isOnly;
+  return isOnlyCopy;
 }
 
 void PlacementWatch::ForgetAll()
@@ -50,33 +50,33 @@
   mBySentAt.clear();
 }
 
-std::vector<PlacementWatch::Retry> PlacementWatch::TakeLate(Time aNow)
+std::vector<PlacementWatch::Retry> PlacementWatch::TakeTimedOut(Time aNow)
 {
-  std::vector<Retry> late;
+  std::vector<Retry> timedOut;
   while (!mBySentAt.empty() &&
-         aNow - mBySentAt.begin()->first >= kAnswerWithin) {
+         aNow - mBySentAt.begin()->first >= kAnswerTimeout) {
     auto [sentAt, flow] = *mBySentAt.begin();
     mBySentAt.erase(mBySentAt.begin());
     auto it = mWatched.find(flow);
     if (it == mWatched.end() || it->second.mSentAt != sentAt) {
       continue;
     }
-    if (aNow - sentAt >= kAnswerWithin + kBehind) {
+    if (aNow - sentAt >= kAnswerTimeout + kStallTolerance) {
       it->second.mSentAt = aNow;
       mBySentAt.emplace(aNow, flow);
       continue;
     }
     Retry retry = std::move(it->second.mRetry);
     mWatched.erase(it);
-    mSuspects[retry.mCandidates.front().mHost] = aNow + kSuspectFor;
-    retry.mSilent = retry.mCandidates.front().mTunnel;
+    mSuspects[retry.mCandidates.front().mHost] = aNow + kSuspicionDuration;
+    retry.mUnresponsive = retry.mCandidates.front().mTunnel;
     retry.mCandidates.erase(retry.mCandidates.begin());
-    if (++retry.mRetries > kMostRetries) {
+    if (++retry.mRetries > kMaxRetries) {
       retry.mCandidates.clear();
     }
-    late.push_back(std::move(retry));
+    timedOut.push_back(std::move(retry));
   }
-  return late;
+  return timedOut;
 }
 
 std::optional<Time> PlacementWatch::NextAt() const
@@ -84,10 +84,10 @@
   if (mWatched.empty() || mBySentAt.empty()) {
     return std::nullopt;
   }
-  return mBySentAt.begin()->first + kAnswerWithin;
+  return mBySentAt.begin()->first + kAnswerTimeout;
 }
 
-bool PlacementWatch::IsSuspect(HostId aHost, Time aNow) const
+bool PlacementWatch::IsSuspected(HostId aHost, Time aNow) const
 {
   auto it = mSuspects.find(aHost);
   return it != mSuspects.end() && aNow < it->second;
--- a/src/passthrough/PlacementWatch.h
+++ b/src/passthrough/PlacementWatch.h
@@ -12,55 +12,58 @@
 
 namespace heatherplank {
 
-/** A candidate as a placement names it. */
+/** A host to which an opening packet can be offered. */
 struct PlacementCandidate
 {
   HostId mHost;
   Address mTunnel;
 };
 
-/** Watches over opening packets until an agent says what became of them, and
- * gives up on a host that says nothing.
+/** Watches opening packets until an agent reports their outcome, and detects
+ * hosts that do not answer.
  *
- * Failure met: the first candidate lost power or is cut off. Its heartbeats
- * are missed only after a second or more, and the caller repeats its opening
- * packet after 200 ms, above the latency target of most requests. Here the
- * packet goes to the other candidates after kAnswerWithin, and flows that
- * come after it try the silent host last. Two hosts may then answer; the
- * caller acknowledges one, so the flow still opens once.
+ * Guards against: the first candidate lost power or is cut off. Membership
+ * misses its heartbeats only after a second or more, and the caller repeats its
+ * opening packet after 200 ms, which is above the latency target of most
+ * requests. So the packet is offered to the other candidates after
+ * kAnswerTimeout, and later flows try the unresponsive host last. Two hosts may
+ * then answer; the caller acknowledges one, so the flow still opens once.
  *
- * Pure; not thread safe.
- */
+ * No I/O or clock access; not thread safe. */
 class PlacementWatch
 {
 public:
-  /** A walk of the candidates takes some 5 ms. Above that lie the pauses of
-   * hosts whose share of a core is small. */
-  static constexpr Duration kAnswerWithin = std::chrono::milliseconds(30);
-  /** A packet that is found late by more than this is not the host's fault:
-   * this process did not get to run, and the answer may wait to be read. */
-  static constexpr Duration kBehind = std::chrono::milliseconds(20);
-  /** Times that one packet is offered again. Each walk asks up to eight hosts;
-   * offered to all in turn while everything is slow, each packet of a caller
-   * became dozens, and the load of them kept everything slow. */
-  static constexpr int kMostRetries = 2;
-  /** How long a silent host is tried last: a few heartbeats, by when
-   * membership knows. */
-  static constexpr Duration kSuspectFor = std::chrono::milliseconds(700);
-  /** Callers repeat an opening packet after 200 ms; some of that went by before
-   * the packet came here. */
-  static constexpr Duration kOnlyCopyFor = std::chrono::milliseconds(150);
-  /** Opening packets watched at most; more go out unwatched. */
-  static constexpr std::size_t kMostWatched = 8192;
+  /** An offer takes some 5 ms to be forwarded along the candidate list. The
+   * rest allows for the pauses of hosts whose share of a core is small. */
+  static constexpr Duration kAnswerTimeout = std::chrono::milliseconds(30);
+  /** If a timeout is noticed later than this, the host is not at fault: this
+   * process was not scheduled, and the answer may wait in its socket. */
+  static constexpr Duration kStallTolerance = std::chrono::milliseconds(20);
+  /** Maximum number of repeated offers of one packet. Each offer is forwarded
+   * to up to eight hosts. When packets were offered to all hosts in turn while
+   * the whole system was slow, each packet of a caller became dozens, and their
+   * load kept the system slow. */
+  static constexpr int kMaxRetries = 2;
+  /** How long an unresponsive host is tried last: a few heartbeats, by when
+   * membership has detected the failure. */
+  static constexpr Duration kSuspicionDuration = std::chrono::milliseconds(700);
+  /** For this long after its arrival an opening packet is the only copy that
+   * its caller has sent. Callers repeat it after 200 ms, and some of this time
+   * passed before the packet arrived here. */
+  static constexpr Duration kSingleCopyDuration =
+    std::chrono::milliseconds(150);
+  /** Maximum number of opening packets watched; further ones are sent
+   * unwatched. */
+  static constexpr std::size_t kMaxWatched = 8192;
 
   struct Retry
   {
     FlowKey mFlow;
     SteeredPacket mSteered;
     std::vector<PlacementCandidate> mCandidates;
-    /** Where the host is that said nothing. */
-    Address mSilent;
-    /** How often it was offered again before. */
+    /** Address of the host that did not answer. */
+    Address mUnresponsive;
+    /** Number of repeated offers. */
     int mRetries = 0;
   };
 
@@ -71,35 +74,36 @@
     Later,
   };
 
-  /** Watches a packet that went to the first of aCandidates. */
+  /** Watches a packet that was offered to the first of aCandidates. */
   void Begin(const FlowKey& aFlow, SteeredPacket aSteered,
              std::vector<PlacementCandidate> aCandidates, Copy aCopy, Time aNow,
              int aRetries = 0);
 
-  /** A host answered for the flow. Gives when the packet was sent, if it is
-   * watched. */
+  /** Ends the watch because a host answered for the flow. Returns when the
+   * packet was sent, if it is watched. */
   std::optional<Time> End(const FlowKey& aFlow);
 
-  /** The candidates refused the flow. True if the caller may be told so by a
-   * reset.
+  /** Ends the watch because the candidates refused the flow. Returns true if
+   * the caller may be sent a reset.
    *
-   * Failure met: a host that was slow to say so, or whose agent stood still,
-   * opened the flow by one copy of its opening packet, and the refusal of
-   * another copy cuts the open flow. Shown by callers whose flow ends while
-   * its host lives. A flow is refused aloud only if this was the one copy
-   * that was ever offered, and before the caller sends another, which any
-   * balancer may offer; a caller that hears nothing repeats or gives up by
-   * itself. */
+   * Guards against: a host that answers late, or whose agent was stalled,
+   * opens the flow with one copy of its opening packet, and the refusal of
+   * another copy resets the open flow although its host is alive. So a reset is
+   * sent only if this was the only copy ever offered, and before the caller
+   * sends another one, which any balancer may offer. A caller that receives
+   * nothing repeats its packet or gives up by itself. */
   bool EndRefused(const FlowKey& aFlow, Time aNow);
 
-  /** This process stood still: others may have opened what it watched. */
+  /** Call after a process stall: other balancers may have opened the watched
+   * flows. */
   void ForgetAll();
 
-  /** Flows whose first candidate said nothing in time; that candidate is a
-   * suspect from now on and not among the candidates given. */
-  std::vector<Retry> TakeLate(Time aNow);
+  /** Removes and returns the flows whose first candidate did not answer in
+   * time. That candidate is suspected from now on and is not among the returned
+   * candidates. */
+  std::vector<Retry> TakeTimedOut(Time aNow);
 
-  /** When TakeLate has something next, if nothing happens before. */
+  /** When to call TakeTimedOut() next, if nothing happens before. */
   std::optional<Time> NextAt() const;
 
   /** Whether an opening packet of the flow is unanswered. */
@@ -108,10 +112,10 @@
     return mWatched.contains(aFlow);
   }
 
-  bool IsSuspect(HostId aHost, Time aNow) const;
+  bool IsSuspected(HostId aHost, Time aNow) const;
 
-  /** A sign of life. */
-  void Clear(HostId aHost) { mSuspects.erase(aHost); }
+  /** Call when the host has answered. */
+  void ClearSuspicion(HostId aHost) { mSuspects.erase(aHost); }
 
   std::size_t Size() const { return mWatched.size(); }
 
@@ -120,13 +124,14 @@
   {
     Retry mRetry;
     Copy mCopy = Copy::First;
-    /** When it was offered, or counted as offered anew: see kBehind. */
+    /** Start of the timeout: when the packet was offered, or when its timeout
+     * was restarted (see kStallTolerance). */
     Time mSentAt;
     Time mOfferedAt;
   };
 
   std::unordered_map<FlowKey, Watched> mWatched;
-  /** In the order of sending; entries of flows that ended are skipped. */
+  /** Ordered by mSentAt; entries of flows that ended are skipped. */
   std::multimap<Time, FlowKey> mBySentAt;
   std::unordered_map<HostId, Time> mSuspects;
 };
--- a/src/passthrough/SearchWalks.h
+++ b/src/passthrough/SearchWalks.h
@@ -8,32 +8,33 @@
 
 namespace heatherplank {
 
-/** Agents that share one search out among the hosts.
+/** Number of agents among which a balancer splits one search.
  *
- * Failure met: an agent that was just killed is among them; what it was to ask
- * is not asked, and membership misses it only some seconds later. Shown by
- * packets that reach other hosts and never the flow's own. With two, one dead
- * agent hides half of the hosts from one search, and the caller's repeat goes
- * by two others. Each more costs the balancer's link another copy of the
- * packet: eight of them filled links of 10 Mbit/s, and the share of uploads in
- * time fell from 99 to 54 of 100. */
-constexpr std::size_t kFanOuts = 2;
-
-/** Walks that each of them begins. A dead agent in a walk ends it and hides the
- * hosts behind it: of 64 hosts, eight walks of eight lose four of them on
- * average. */
+ * Guards against: one of these agents was just killed, which membership detects
+ * only some seconds later. The hosts assigned to it are not queried, and
+ * packets reach other hosts but never the one that holds the flow. With two
+ * agents, one dead agent hides half of the hosts from one search, and the
+ * repeat of the caller goes through two others. Each further agent costs the
+ * link of the balancer another copy of the packet: eight of them filled links
+ * of 10 Mbit/s, and the share of uploads in time fell from 99 to 54 of 100. */
+constexpr std::size_t kFanOutAgents = 2;
+
+/** Number of walks (see SearchWalk) that each of the kFanOutAgents agents
+ * starts. A dead agent ends its walk and hides the hosts behind it: with 64
+ * hosts in eight walks of eight, it hides four hosts on average. */
 constexpr std::size_t kWalksEach = 4;
 
-/** A part of a search: the packet goes to the first host, and from host to host
- * until one holds the flow. */
+/** A part of a search: the packet goes to mFirst and is forwarded along mOthers
+ * until a host holds the flow. */
 struct SearchWalk
 {
   Address mFirst;
   std::vector<Address> mOthers;
 };
 
-/** Deals hosts out to aCount walks in turn, so that each of the first ones
- * heads a walk. Fewer walks if there are fewer hosts. Thread safe. */
+/** Distributes hosts round-robin over aCount walks, so that each of the first
+ * aCount hosts heads a walk. Returns fewer walks if there are fewer hosts.
+ * Thread safe. */
 std::vector<SearchWalk> DealWalks(std::span<const Address> aHosts,
                                   std::size_t aCount);
 
--- a/src/passthrough/SteerEvent.h
+++ b/src/passthrough/SteerEvent.h
@@ -5,7 +5,7 @@
 
 namespace heatherplank {
 
-/** What happened to packets at a balancer; each is counted. */
+/** Events in the handling of packets at a balancer, each with a counter. */
 enum class SteerEvent : std::uint8_t
 {
   Offered,
--- a/src/passthrough/SteerMessages.h
+++ b/src/passthrough/SteerMessages.h
@@ -9,43 +9,44 @@
 
 namespace heatherplank {
 
-/** What the receiver of a steered packet is asked to do. */
+/** What the receiver of a steered packet does with it. */
 enum class SteerPurpose : std::uint8_t
 {
-  /** The packet opens a flow: take it, or pass it on to a freer host. */
+  /** The packet opens a flow: accept it or forward it to a less loaded host. */
   Place = 0,
   /** The sender believes that the receiver's host holds the flow. */
   Deliver = 1,
-  /** Find the flow's host: deliver it, or pass it on. */
+  /** Deliver the packet if the host holds the flow, else forward it. */
   Search = 2,
-  /** Back to the balancer: the receiver of a Deliver does not hold the flow. */
+  /** Returned to the balancer: the receiver of a Deliver lacks the flow. */
   NotHere = 3,
-  /** A Search that the receiver splits into walks side by side. */
+  /** A Search that the receiver splits into concurrent SearchWalks. */
   FanOut = 4,
   Last = FanOut,
 };
 
-/** A packet of an opaque flow on its way between our processes. */
+/** A packet of an opaque flow, forwarded between balancers and agents. */
 struct SteeredPacket
 {
   ServiceId mService;
   SteerPurpose mPurpose = SteerPurpose::Place;
   Importance mImportance = Importance::Normal;
-  /** The sender found no freer host: refuse it or take it. */
+  /** The sender found no less loaded host: accept the flow or refuse it. */
   bool mMustTake = false;
   Duration mLatencyTarget{};
-  /** The balancer that took the packet in, which is told where the flow is. */
+  /** The balancer that received the packet from the caller; agents report the
+   * host of the flow to it. */
   Address mIngress;
-  /** Hosts that are still to be tried, best first. */
+  /** Hosts still to be tried, best first. */
   std::vector<Address> mCandidates;
-  /** The host with the shortest wait of those that passed the packet on. */
+  /** The host with the shortest wait among those that forwarded the packet. */
   Address mBest;
   Duration mBestWait{};
-  /** As of which version the balancer knows the drained data centres. */
+  /** Version of the drained data centres that the balancer knows. */
   std::uint64_t mDrainsVersion = 0;
-  /** New flows a second that a cold host of the service bears; 0: no bound. */
+  /** New flows a second for a cold host of the service; 0: unlimited. */
   double mColdRate = 0;
-  /** The packet as its sender wrote it. */
+  /** The original packet. */
   Bytes mPacket;
 };
 
@@ -54,11 +55,11 @@
 {
   /** The host answered the opening packet, or carries the flow. */
   Placed = 0,
-  /** No host can serve it in time; the balancer tells the caller if it may. */
+  /** No host can serve the flow in time; the caller may be sent a reset. */
   Refused = 1,
 };
 
-/** An agent's word to a balancer on where a flow is. */
+/** An agent's report to a balancer on the placement of a flow. */
 struct PlacementReport
 {
   FlowKey mFlow;
--- a/tests/BalancerDirectoryTest.cpp
+++ b/tests/BalancerDirectoryTest.cpp
@@ -24,7 +24,7 @@
   }
 };
 
-TEST(BalancerDirectory, NamesAreReadBack)
+TEST(BalancerDirectory, NamesAreParsedBack)
 {
   CHECK_TRUE(BalancerDirectory::Parse(BalancerDirectory::NameOf(mSelf)) ==
              mSelf);
@@ -35,9 +35,9 @@
   }
 }
 
-// All seeds of the settings are gone, and an agent starts. Its host gets no
-// flow until it finds a balancer.
-TEST(BalancerDirectory, WhoIsLostFindsThoseThatRegistered)
+// All seeds in the settings are gone when an agent starts. Its host gets no
+// flow until the agent finds a balancer.
+TEST(BalancerDirectory, ProcessWithoutPeersFindsRegisteredBalancers)
 {
   auto balancer = Make(mOther);
   balancer->OnTick(false, mClock.Now());
@@ -49,7 +49,7 @@
   CHECK_TRUE(mFound[0] == mOther);
 }
 
-TEST(BalancerDirectory, RegistersOnceAndAgainWhenToldTo)
+TEST(BalancerDirectory, RegistersOnceAndAgainOnRequest)
 {
   auto balancer = Make(mSelf);
   for (int i = 0; i < 100; ++i) {
@@ -65,8 +65,9 @@
   CHECK_EQUAL(0, mStore.mObjects.size());
 }
 
-// The answer to the write was lost; the second one meets its own entry.
-TEST(BalancerDirectory, ALostAnswerIsSettledByTheNextWrite)
+// The answer to the first write was lost; the second write conflicts with the
+// entry that the first one created.
+TEST(BalancerDirectory, LostAnswerIsResolvedByTheNextWrite)
 {
   bool first = true;
   mStore.mOnWrite = [&](const std::string&) {
@@ -82,8 +83,9 @@
   CHECK_EQUAL(2, mStore.mCalls);
 }
 
-// Whoever stays lost must not press the store: pauses grow to ten seconds.
-TEST(BalancerDirectory, LooksSeldomWhenItStaysLost)
+// A process that stays without peers must not overload the store: its pauses
+// grow to ten seconds.
+TEST(BalancerDirectory, ListsEntriesWithGrowingPauses)
 {
   auto agent = Make(std::nullopt);
   for (int i = 0; i < 600; ++i) {
@@ -94,7 +96,7 @@
   CHECK_TRUE(mStore.mCalls > 4);
 }
 
-TEST(BalancerDirectory, EntriesOfOthersNameNobody)
+TEST(BalancerDirectory, InvalidEntriesAndItsOwnAreIgnored)
 {
   mStore.mObjects["b/garbage"] = { "b/garbage", "?", 1 };
   mStore.mObjects["b/" + BalancerDirectory::NameOf(mSelf)] = { "", "", 2 };
--- a/tests/CandidateOrderTest.cpp
+++ b/tests/CandidateOrderTest.cpp
@@ -20,29 +20,30 @@
 return out;
 }
 
-static OrderInputs From(const char* aDataCentre, HostId aSuspect = {})
+static OrderInputs From(const char* aDataCentre, HostId aSuspected = {})
 {
   return { MakeDataCentreId(aDataCentre),
-           [aSuspect](HostId aIt) { return aIt == aSuspect; } };
+           [aSuspected](HostId aIt) { return aIt == aSuspected; } };
 }
 }
 ;
 
-TEST(CandidateOrder, NearHostsFirstSuspectsLast)
+TEST(CandidateOrder, LocalHostsFirstSuspectedHostsLast)
 {
   auto view = MakeServiceView({ 1 }, 1, Hosts(6));
   for (std::uint64_t flow = 0; flow < 100; ++flow) {
-    HostId suspect = MakeHostId("h0");
-    auto order = OrderForPlacement(*view, MixHash(flow, 1), From("a", suspect));
+    HostId suspected = MakeHostId("h0");
+    auto order =
+      OrderForPlacement(*view, MixHash(flow, 1), From("a", suspected));
     CHECK_EQUAL(6, order.size());
     CHECK_TRUE(order[0]->mHost == MakeHostId("h3"));
-    CHECK_TRUE(order[5]->mHost == suspect);
+    CHECK_TRUE(order[5]->mHost == suspected);
   }
 }
 
-// Balancers of one data centre are replaced: the new one walks the hosts in the
-// order in which the old one placed the flow.
-TEST(CandidateOrder, IsTheSameOnEveryBalancerOfADataCentre)
+// Balancers of one data centre are replaced: the new one searches the hosts in
+// the order in which the old one placed the flow.
+TEST(CandidateOrder, OrderIsTheSameOnEveryBalancerOfADataCentre)
 {
   auto one = MakeServiceView({ 1 }, 1, Hosts(9));
   auto other = MakeServiceView({ 1 }, 7, Hosts(9));
@@ -54,7 +55,7 @@
   }
 }
 
-TEST(CandidateOrder, SpreadsFlowsEvenlyOverNearHosts)
+TEST(CandidateOrder, SpreadsFlowsEvenlyOverLocalHosts)
 {
   auto view = MakeServiceView({ 1 }, 1, Hosts(9));
   std::map<HostId, int> first;
@@ -68,18 +69,17 @@
   }
 }
 
-TEST(CandidateOrder, ASearchIsBounded)
+TEST(CandidateOrder, SearchIsBounded)
 {
   auto view = MakeServiceView({ 1 }, 1, Hosts(200));
   CHECK_EQUAL(kMostSearched, OrderForSearch(*view, 5, From("a")).size());
 }
 
-// A power cut takes most machines; flows are opened on the first forty hosts
-// that are heard again. Then the other 132 come back, the balancers are
-// replaced, and a flow's host stands far below its first eight ranks. A search
-// that walks any 64 of the members misses it in two cases of three, and the
-// flow hangs.
-TEST(CandidateOrder, FindsAFlowWhoseHostFellFarDownItsRanks)
+// A power loss stops most VMs, and flows are opened on the first forty hosts
+// that return. Then the other 132 return, the balancers are replaced, and the
+// host of a flow ranks far below the first eight. A search that covers any 64
+// of the members misses the host in two cases of three, and the flow hangs.
+TEST(CandidateOrder, SearchFindsAHostThatFellFarInRank)
 {
   constexpr int kAll = 172;
   constexpr int kFirstBack = 40;
--- a/tests/FlowSteeringTest.cpp
+++ b/tests/FlowSteeringTest.cpp
@@ -102,7 +102,7 @@
   }
 };
 
-TEST(FlowSteering, OffersHostsOfItsDataCentreFirst)
+TEST(FlowSteering, OffersToLocalDataCentreFirst)
 {
   SetRoutes();
   SetHosts({ Host(1, "far"), Host(2, "far"), Host(3, "near"), Host(4, "far"),
@@ -113,10 +113,10 @@
   CHECK_EQUAL(3, mOut.mSteered[0].second.mCandidates.size());
 }
 
-// A balancer just started and knows no routes, or its routes name no such
-// address. The first drops the packet, as its caller may be right; the second
-// tells the caller at once.
-TEST(FlowSteering, RefusesAnUnknownRouteOnlyOnceItHasRoutes)
+// A balancer without routes drops an opening packet, as its address may be
+// valid. A balancer whose routes do not include the address refuses the packet
+// at once.
+TEST(FlowSteering, UnknownRouteIsRefusedOnlyOnceRoutesAreKnown)
 {
   Syn();
   CHECK_EQUAL(0, mOut.mToCaller.size());
@@ -129,7 +129,7 @@
   CHECK_EQUAL(1, mOut.mToCaller.size());
 }
 
-TEST(FlowSteering, RefusesAtOnceWithoutAHost)
+TEST(FlowSteering, OpeningPacketIsRefusedWithoutAServingHost)
 {
   SetRoutes();
   SetHosts({ Host(1, "near", HostState::Draining) });
@@ -137,14 +137,14 @@
   CHECK_EQUAL(1, mOut.mToCaller.size());
 }
 
-// The first candidate lost power. The opening packet goes to the others after
-// 30 ms, and the flows behind it try the silent host last.
-TEST(FlowSteering, LeavesASilentHost)
+// The first candidate lost power. The opening packet is offered to the other
+// candidates after 30 ms, and later flows try the unresponsive host last.
+TEST(FlowSteering, UnansweredOfferGoesToOtherHosts)
 {
   SetRoutes();
   SetHosts({ Host(1, "near"), Host(2, "far") });
   Syn();
-  mClock.Advance(PlacementWatch::kAnswerWithin);
+  mClock.Advance(PlacementWatch::kAnswerTimeout);
   mSteering.OnTick(mClock.Now());
   CHECK_EQUAL(2, mOut.mSteered.size());
   STRCMP_EQUAL("10.0.1.2:7000", mOut.mSteered[1].first.ToString().c_str());
@@ -152,7 +152,7 @@
   STRCMP_EQUAL("10.0.1.2:7000", mOut.mSteered[2].first.ToString().c_str());
 }
 
-TEST(FlowSteering, FollowsAHintAndForgetsAWrongOne)
+TEST(FlowSteering, HintIsUsedUntilAPacketIsReturned)
 {
   SetRoutes();
   SetHosts({ Host(1, "near"), Host(2, "far") });
@@ -171,10 +171,10 @@
   CHECK(mOut.mSteered[4].second.mPurpose == SteerPurpose::FanOut);
 }
 
-// The fabric moves an upload, and sixteen packets of it come at once to a
-// balancer that does not know its host. One search finds it; the others wait
-// for it and go there, each once and in their order.
-TEST(FlowSteering, OneSearchServesAWindowOfPackets)
+// The fabric moves an upload, and sixteen of its packets arrive at once at a
+// balancer that does not know the host. One search finds the host; the other
+// packets wait for its result and are delivered once each, in order.
+TEST(FlowSteering, BurstOfPacketsStartsOneSearch)
 {
   SetRoutes();
   SetHosts({ Host(1, "near"), Host(2, "near"), Host(3, "near") });
@@ -193,9 +193,10 @@
   }
 }
 
-// The host of a flow answers for its placement while it is not in this
-// balancer's view any more. What waited is dropped, not sent nowhere.
-TEST(FlowSteering, WhatWaitedForAHostOutOfViewIsDropped)
+// A host reports the placement of a flow when it is no longer in this
+// balancer's view. The packets held for the flow are dropped, as there is no
+// address to send them to.
+TEST(FlowSteering, HeldPacketsAreDroppedIfTheHostLeftTheView)
 {
   SetRoutes();
   SetHosts({ Host(1, "near") });
@@ -205,10 +206,10 @@
   CHECK_EQUAL(1, mOut.mSteered.size());
 }
 
-// Hosts come and go until more are in view than are ranked. The flow's host
-// must be among those that a search walks, wherever it ranks, and also while
-// it drains.
-TEST(FlowSteering, ASearchWalksAllHosts)
+// Hosts are added and removed until more are in view than are ranked. A search
+// must cover the host of the flow, at whichever rank, and also while the host
+// drains.
+TEST(FlowSteering, SearchCoversAllHosts)
 {
   SetRoutes();
   std::vector<Member> hosts;
@@ -218,19 +219,19 @@
   }
   SetHosts(hosts);
   Data();
-  std::multiset<Address> asked;
+  std::multiset<Address> queried;
   for (const auto& [first, steered] : mOut.mSteered) {
-    asked.insert(first);
-    asked.insert(steered.mCandidates.begin(), steered.mCandidates.end());
+    queried.insert(first);
+    queried.insert(steered.mCandidates.begin(), steered.mCandidates.end());
   }
-  CHECK_EQUAL(20, asked.size());
-  CHECK_EQUAL(20, std::set<Address>(asked.begin(), asked.end()).size());
+  CHECK_EQUAL(20, queried.size());
+  CHECK_EQUAL(20, std::set<Address>(queried.begin(), queried.end()).size());
 }
 
-// Agents die in turn while the fabric moves flows. A search that ends at a dead
-// agent must not end there again and again: the flow's host would get none of
-// its packets until membership misses the agent.
-TEST(FlowSteering, ADeadAgentHidesAHostFromFewSearches)
+// Agents fail in turn while the fabric moves flows. Repeated searches must not
+// all end at the same dead agent: the host of the flow would get no packet
+// until membership detects the failure.
+TEST(FlowSteering, RepeatedSearchesPassADeadAgent)
 {
   SetRoutes();
   std::vector<Member> hosts;
@@ -240,7 +241,7 @@
   SetHosts(hosts);
   const Address dead = hosts[7].mTunnel;
   std::map<Address, int> reached;
-  // As the caller repeats its packet.
+  // The caller repeats its packet.
   for (int i = 0; i < 4; ++i) {
     Data();
     mClock.Advance(200ms);
@@ -260,13 +261,13 @@
       }
     }
   }
-  // Of four packets of a caller each other host gets one at least.
+  // Each of the other hosts receives at least one of the four packets.
   CHECK_EQUAL(39, reached.size());
 }
 
-// The weights of a route changed since the flow was opened, so that its hash
-// names another service now.
-TEST(FlowSteering, ASearchAsksEachServiceOfTheRoute)
+// The weights of a route changed since the flow was opened, so its hash selects
+// another service now.
+TEST(FlowSteering, SearchCoversEachServiceOfTheRoute)
 {
   SetRoutes({ { MakeServiceId("t"), 1 }, { MakeServiceId("s"), 1 } });
   SetHosts({ Host(1, "near") });
@@ -275,7 +276,7 @@
   CHECK_TRUE(mOut.mSteered[0].second.mService == MakeServiceId("s"));
 }
 
-TEST(FlowSteering, TellsTheCallerOfARefusalOfItsOneOffer)
+TEST(FlowSteering, OnlyTheRefusalOfTheFirstCopyResetsTheCaller)
 {
   SetRoutes();
   SetHosts({ Host(1, "near") });
@@ -288,10 +289,10 @@
   CHECK_EQUAL(1, mSteering.Count(SteerEvent::RefusedQuietly));
 }
 
-// A balancer stood still with an opening packet in its socket; the caller
-// opened the flow by a copy at another balancer meanwhile. The old packet's
-// refusal must not reach the caller.
-TEST(FlowSteering, AfterAStandstillNothingIsRefusedAloud)
+// A balancer is stalled with an opening packet in its socket, and the caller
+// opens the flow with a copy through another balancer. The refusal of the old
+// packet must not reach the caller.
+TEST(FlowSteering, RefusalAfterAProcessStallSendsNoReset)
 {
   SetRoutes();
   SetHosts({ Host(1, "near") });
@@ -305,7 +306,7 @@
   CHECK_EQUAL(1, mOut.mToCaller.size());
 }
 
-TEST(FlowSteering, ACopyGoesToTheHostThatAnswered)
+TEST(FlowSteering, CopyIsOfferedToTheHostThatAnswered)
 {
   SetRoutes();
   SetHosts({ Host(1, "near"), Host(2, "far") });
@@ -315,7 +316,7 @@
   STRCMP_EQUAL("10.0.1.2:7000", mOut.mSteered[1].first.ToString().c_str());
 }
 
-TEST(FlowSteering, CountsWhatIsNoPacket)
+TEST(FlowSteering, MalformedPacketIsCounted)
 {
   SetRoutes();
   Bytes garbage(20, 0xff);
@@ -323,11 +324,10 @@
   CHECK_EQUAL(1, mSteering.Count(SteerEvent::Malformed));
 }
 
-// A balancer offers a flow, is killed and starts again at once. The flow is
-// open by then; a copy of its opening packet, doubled or late in the fabric,
-// reaches the new process, which knows no host yet. A refusal would reset the
-// open flow.
-TEST(FlowSteering, RefusesNothingJustAfterItsStart)
+// A balancer offers a flow, is killed and restarts at once. The flow is open by
+// then, and a duplicated or delayed copy of its opening packet reaches the new
+// process, which knows no host yet. A refusal would reset the open flow.
+TEST(FlowSteering, RefusalJustAfterTheStartSendsNoReset)
 {
   mSteering.OnStart(mClock.Now());
   SetRoutes();
@@ -341,11 +341,11 @@
   CHECK_EQUAL(1, mOut.mToCaller.size());
 }
 
-// Everything lost power and comes back; this balancer is up before the hosts.
-// Refused, a caller tries twice more within 30 ms and gives up; told nothing,
-// it repeats its packet after 200 ms and is served. A service that has no host
-// for longer is refused.
-TEST(FlowSteering, HostsThatMayNotBeHeardYetAreWaitedFor)
+// All VMs return from a power loss, and this balancer is up before the hosts. A
+// refused caller tries twice more within 30 ms and gives up; a caller without
+// an answer repeats its packet after 200 ms and is served. A service that has
+// no host for longer is refused.
+TEST(FlowSteering, OpeningPacketIsDroppedDuringHostDiscovery)
 {
   mSteering.OnStart(mClock.Now());
   SetRoutes();
@@ -357,10 +357,10 @@
   CHECK_EQUAL(1, mOut.mToCaller.size());
 }
 
-// A route was added; the flow is open through a balancer that has it. A later
-// copy of its opening packet moves to one that is a moment behind and would
-// reset it.
-TEST(FlowSteering, AnUnknownRouteResetsNoLaterCopy)
+// A route was added, and the flow is open through a balancer that knows the
+// route. A later copy of its opening packet reaches a balancer whose routes are
+// slightly older and that would reset the flow.
+TEST(FlowSteering, UnknownRouteDoesNotResetALaterCopy)
 {
   auto inventory = std::make_shared<FlowInventory>();
   inventory->mVersion = 1;
@@ -371,11 +371,11 @@
   CHECK_EQUAL(1, mOut.mToCaller.size());
 }
 
-// A balancer was killed and starts again. An agent that stood still answers
-// what the former life sent: a flow refused, a packet given back. The new
-// process has no routes yet; it must neither crash nor tell the caller
+// A balancer was killed and restarts. A stalled agent then answers messages of
+// the earlier incarnation: it refuses a flow and returns a packet. The new
+// process has no routes yet; it must neither crash nor send the caller
 // anything.
-TEST(FlowSteering, AnswersToItsFormerLifeDoNoHarmBeforeItHasRoutes)
+TEST(FlowSteering, AnswersToAnEarlierIncarnationDoNoHarmWithoutRoutes)
 {
   Report(1, PlacementOutcome::Refused);
   SteeredPacket back;
@@ -388,7 +388,7 @@
 }
 
 // Guards against flows opened in a data centre that is about to lose power.
-TEST(FlowSteering, ADrainedDataCentreGetsNoNewFlow)
+TEST(FlowSteering, DrainedDataCentreGetsNoNewFlow)
 {
   SetRoutes();
   SetHosts({ Host(1, "near"), Host(2, "near"), Host(3, "far") });
@@ -398,7 +398,7 @@
   STRCMP_EQUAL("10.0.1.3:7000", mOut.mSteered[0].first.ToString().c_str());
   CHECK_EQUAL(0, mOut.mSteered[0].second.mCandidates.size());
   CHECK_EQUAL(7, mOut.mSteered[0].second.mDrainsVersion);
-  // Views that come later hold the drain too, until it is taken back.
+  // The drain also applies to later views, until it is revoked.
   SetHosts({ Host(1, "near"), Host(3, "far") });
   CHECK_EQUAL(1, mSteering.UsableHosts());
   mSteering.SetDrains({ 9, {} });
@@ -407,7 +407,7 @@
 
 // Guards against a copy of an opening packet that follows a hint into a drained
 // data centre.
-TEST(FlowSteering, ACopyFollowsNoHintIntoADrainedDataCentre)
+TEST(FlowSteering, CopyFollowsNoHintIntoADrainedDataCentre)
 {
   SetRoutes();
   SetHosts({ Host(1, "near"), Host(3, "far") });
@@ -416,15 +416,15 @@
   Syn(1);
   CHECK_EQUAL(1, mOut.mSteered.size());
   STRCMP_EQUAL("10.0.1.3:7000", mOut.mSteered[0].first.ToString().c_str());
-  // Packets of a flow that is open there still go there.
+  // Packets of a flow that is open in the drained data centre still go there.
   Report(1, PlacementOutcome::Placed);
   Data();
   STRCMP_EQUAL("10.0.1.1:7000", mOut.mSteered.back().first.ToString().c_str());
 }
 
-// Every data centre of a service is drained: callers are told at once, and no
-// host is given anything.
-TEST(FlowSteering, WithEveryDataCentreDrainedCallersAreRefused)
+// Every data centre of a service is drained: callers are refused at once, and
+// no host receives a packet.
+TEST(FlowSteering, CallersAreRefusedWhenAllDataCentresAreDrained)
 {
   SetRoutes();
   SetHosts({ Host(1, "near") });
--- a/tests/IsolationWatchTest.cpp
+++ b/tests/IsolationWatchTest.cpp
@@ -14,25 +14,25 @@
   ManualClock mClock;
   IsolationWatch mWatch;
 
-  void Hear(std::uint16_t aFrom, std::uint16_t aTo)
+  void Receive(std::uint16_t aFrom, std::uint16_t aTo)
   {
     for (std::uint16_t i = aFrom; i < aTo; ++i) {
       Address agent;
       agent.mPort = i;
-      mWatch.OnHeard(agent, mClock.Now());
+      mWatch.OnMessage(agent, mClock.Now());
     }
   }
-  /** Time passes, and the balancer asks the first agents whenever it is to;
-   * those from aAnswering on answer at once. */
-  void Pass(Duration aFor, std::uint16_t aAnswering = kAgents)
+  /** Advances the clock and probes the agents whenever the watch requires it.
+   * The agents from aAnswering on answer at once. */
+  void Advance(Duration aDuration, std::uint16_t aAnswering = kAgents)
   {
-    for (Time end = mClock.Now() + aFor; mClock.Now() < end;) {
-      if (mWatch.WantsToAsk(kAgents, mClock.Now())) {
-        mWatch.OnAsked(Agents(), mClock.Now());
-        Hear(aAnswering, kAgents);
+    for (Time end = mClock.Now() + aDuration; mClock.Now() < end;) {
+      if (mWatch.ShouldProbe(kAgents, mClock.Now())) {
+        mWatch.OnProbed(Agents(), mClock.Now());
+        Receive(aAnswering, kAgents);
       }
       mClock.Advance(50ms);
-      Isolated();
+      IsIsolated();
     }
   }
   static std::vector<Address> Agents()
@@ -43,85 +43,86 @@
     }
     return out;
   }
-  bool Isolated()
+  bool IsIsolated()
   {
     return mWatch.IsIsolated(kAgents, mClock.Now());
   }
 };
 
-// An entry machine is cut off from the hosts, but callers still reach it. The
-// fabric must be told, or a seventh of all boat owners get no answer. A host
-// that joined after the cut is heard, which changes nothing for the others.
-TEST(IsolationWatch, SilenceOfMostAgentsIsACut)
+// The VM of a balancer is cut off from the hosts, but callers still reach it.
+// The fabric must be notified, or a seventh of all callers get no answer.
+// Messages from a host that joined after the cut do not end the isolation.
+TEST(IsolationWatch, MissingMessagesOfMostAgentsMeanIsolation)
 {
-  Hear(0, kAgents);
-  Pass(IsolationWatch::kSilentAfter);
-  CHECK_FALSE(Isolated());
-  Pass(IsolationWatch::kAnswerWithin + 100ms);
-  CHECK_TRUE(Isolated());
-  Hear(kAgents, kAgents + 1);
-  CHECK_TRUE(Isolated());
-  Hear(0, 4);
-  CHECK_FALSE(Isolated());
+  Receive(0, kAgents);
+  Advance(IsolationWatch::kHeartbeatTimeout);
+  CHECK_FALSE(IsIsolated());
+  Advance(IsolationWatch::kProbeTimeout + 100ms);
+  CHECK_TRUE(IsIsolated());
+  Receive(kAgents, kAgents + 1);
+  CHECK_TRUE(IsIsolated());
+  Receive(0, 4);
+  CHECK_FALSE(IsIsolated());
 }
 
-// The cut lasts longer than dead agents are remembered. A balancer that then
-// forgets whom it used to hear would call itself ready again in the midst of
-// it.
-TEST(IsolationWatch, ALongCutStaysACut)
+// The cut lasts longer than unresponsive agents are remembered. A balancer that
+// then removed the agents it used to receive from would report ready during the
+// cut.
+TEST(IsolationWatch, IsolationLastsThroughALongCut)
 {
-  Hear(0, kAgents);
+  Receive(0, kAgents);
   for (int i = 0; i < 60; ++i) {
-    Pass(1s);
-    CHECK_TRUE(Isolated());
+    Advance(1s);
+    CHECK_TRUE(IsIsolated());
   }
-  Hear(0, kAgents);
-  CHECK_FALSE(Isolated());
+  Receive(0, kAgents);
+  CHECK_FALSE(IsIsolated());
 }
 
-TEST(IsolationWatch, SomeDeadAgentsAreNoCut)
+TEST(IsolationWatch, SomeDeadAgentsAreNoIsolation)
 {
-  Hear(0, kAgents);
-  Pass(700ms);
-  Hear(0, kAgents / 2);
-  Pass(700ms);
-  CHECK_FALSE(Isolated());
+  Receive(0, kAgents);
+  Advance(700ms);
+  Receive(0, kAgents / 2);
+  Advance(700ms);
+  CHECK_FALSE(IsIsolated());
 }
 
-TEST(IsolationWatch, AloneFromTheStartIsNoCut)
+TEST(IsolationWatch, StartWithoutAgentsIsNoIsolation)
 {
-  Pass(1min);
-  CHECK_FALSE(Isolated());
+  Advance(1min);
+  CHECK_FALSE(IsIsolated());
 }
 
-TEST(IsolationWatch, AStandstillIsNoCut)
+TEST(IsolationWatch, ProcessStallIsNoIsolation)
 {
-  Hear(0, kAgents);
+  Receive(0, kAgents);
   mClock.Advance(5s);
-  mWatch.OnStandstill(mClock.Now());
-  CHECK_FALSE(Isolated());
+  mWatch.OnProcessStall(mClock.Now());
+  CHECK_FALSE(IsIsolated());
 }
 
-// Everything lost power and came back. Each agent greets every balancer, then
-// beats to its three monitors only; a balancer that does not know all others
-// yet believes that it judges nearly all agents, and hears few. Were it to call
-// itself cut off, the fabric would move nearly all flows, twice.
-TEST(IsolationWatch, AgentsThatBeatElsewhereAnswerAndAreNoCut)
+// All VMs return from a power loss. Each agent greets every balancer, then
+// sends heartbeats to its three monitors only. A balancer that does not know
+// all other balancers yet believes that it monitors nearly all agents, and
+// receives heartbeats from few. If it reported isolation, the fabric would move
+// nearly all flows, twice.
+TEST(IsolationWatch, AgentsThatOnlyAnswerProbesAreNoIsolation)
 {
-  Hear(0, kAgents);
+  Receive(0, kAgents);
   for (int i = 0; i < 100; ++i) {
-    Pass(50ms, 6);
-    CHECK_FALSE(Isolated());
+    Advance(50ms, 6);
+    CHECK_FALSE(IsIsolated());
   }
 }
 
-// The same, as the machine's link is cut afterwards: a question that was
-// answered once proves nothing later.
-TEST(IsolationWatch, AnAnswerCountsForItsQuestionOnly)
+// Agents that send heartbeats to other balancers answer probes, and then the
+// link of the VM is cut: answers to earlier probes prove nothing afterwards.
+TEST(IsolationWatch, AnswerCountsForItsProbeOnly)
 {
-  Hear(0, kAgents);
-  Pass(5s, 6);
-  Pass(IsolationWatch::kAskEvery + IsolationWatch::kSilentAfter +
-       IsolationWatch::kAnswerWithin + 100ms);
-  CHECK_TRUE(Isolated());
+  Receive(0, kAgents);
+  Advance(5s, 6);
+  Advance(IsolationWatch::kProbeInterval + IsolationWatch::kHeartbeatTimeout +
+          IsolationWatch::kProbeTimeout + 100ms);
+  CHECK_TRUE(IsIsolated());
 }
