--- a/src/decide/AdmissionOptions.cpp
+++ b/src/decide/AdmissionOptions.cpp
@@ -6,29 +6,29 @@
 
 namespace {
 
-// Ratio of shares between neighbouring importances, so that a class under
-// pressure gets at most a third of what the next one up gets.
-constexpr double kShareStep = 3.0;
+// Ratio of shares between adjacent importances: under pressure, a class gets at
+// most a third of the share of the next higher importance.
+constexpr double kShareRatio = 3.0;
 
 double ShareOf(Importance aImportance)
 {
   double share = 1.0;
   for (int i = 0; i < static_cast<int>(aImportance); ++i) {
-    share *= kShareStep;
+    share *= kShareRatio;
   }
   return share;
 }
 
 ClassOptions MakeClass(const Rule& aRule)
 {
-  ClassOptions made;
-  made.mName = aRule.mName;
-  made.mImportance = aRule.mImportance;
-  made.mMayWait = aRule.mMayWait;
-  made.mDeadline = aRule.mDeadline;
-  made.mQueueLimit = aRule.mQueueLimit;
-  made.mShare = ShareOf(aRule.mImportance);
-  return made;
+  ClassOptions options;
+  options.mName = aRule.mName;
+  options.mImportance = aRule.mImportance;
+  options.mMayWait = aRule.mMayWait;
+  options.mDeadline = aRule.mDeadline;
+  options.mQueueLimit = aRule.mQueueLimit;
+  options.mShare = ShareOf(aRule.mImportance);
+  return options;
 }
 
 } // namespace
@@ -42,9 +42,9 @@
   for (const auto& rule : aService.mRules) {
     options.mClasses.push_back(MakeClass(rule));
   }
-  Rule rest;
-  rest.mName = "default";
-  options.mClasses.push_back(MakeClass(rest));
+  Rule defaultRule;
+  defaultRule.mName = "default";
+  options.mClasses.push_back(MakeClass(defaultRule));
   if (options.mSlots < 2 || aService.mRules.size() < 2) {
     return options;
   }
--- a/src/decide/AdmissionOptions.h
+++ b/src/decide/AdmissionOptions.h
@@ -9,56 +9,60 @@
 
 namespace heatherplank {
 
-/** How requests of one class are treated at a host; made from a rule. */
+/** How a host treats the requests of one class; derived from a rule. */
 struct ClassOptions
 {
   std::string mName;
   Importance mImportance = Importance::Normal;
-  /** Waits in preference to being refused; never dropped once accepted. */
+  /** Deferrable: queued in preference to being refused; never dropped once
+   * admitted. */
   bool mMayWait = false;
-  /** Deadline of the rule; scales what is assumed of service times before any
-   * was observed. */
+  /** Deadline of the rule; scales the service time that is assumed before the
+   * first observation. */
   Duration mDeadline = std::chrono::seconds(2);
-  /** Most requests that wait. */
+  /** Maximum number of queued requests. */
   std::uint32_t mQueueLimit = 64;
-  /** Slots kept for this class; lent while idle to work that is short enough.
+  /** Slots reserved for this class; lent, while idle, to work that is short
+   * enough.
    */
   std::uint32_t mReservedSlots = 0;
-  /** Most slots that this class holds at once; 0 for all. */
+  /** Maximum number of slots that this class holds at once; 0 for all. */
   std::uint32_t mSlotLimit = 0;
-  /** Weight against other classes where slots are divided by share. */
+  /** Weight against other classes with ClassOrder::Share. */
   double mShare = 1.0;
 };
 
-/** How waiting classes are ordered. */
+/** The order in which classes with queued requests are served. */
 enum class ClassOrder : std::uint8_t
 {
-  /** The most important class that waits goes first. */
+  /** The most important class with queued requests goes first. */
   Importance,
-  /** Slot time is divided in the ratio of the shares (the paper's way). */
+  /** Slot time is divided in proportion to the shares (the paper's method). */
   Share,
 };
 
-/** Guards that a test can turn off to show the failure that each one meets. */
+/** Safeguards that a test can turn off to show the failure that each one
+ * prevents. */
 struct AdmissionGuards
 {
-  /** Refuse as soon as the deadline can't be met. */
+  /** Refuse a request as soon as its deadline can't be met. */
   bool mEarlyRefusal = true;
-  /** Keep reserved slots from work that is too long to lend them to. */
+  /** Don't lend reserved slots to work that is too long. */
   bool mReservation = true;
-  /** Serve callers in turn, and bound what one of them may hold. */
+  /** Serve callers round-robin, and bound the queue of each. */
   bool mFairness = true;
-  /** Try a request now and then although the estimate says it is hopeless. */
+  /** Occasionally admit a request although its deadline is estimated to be
+   * unreachable. */
   bool mProbe = true;
-  /** Give refused callers different moments to come back. */
+  /** Give refused callers different retry times. */
   bool mSpreadReturns = true;
-  /** Shorten the wait that is let in while a queue does not empty. */
+  /** Shorten the tolerated wait while a queue does not empty. */
   bool mStandingQueue = true;
-  /** Move waiting work only for a clear gain, and only once. */
+  /** Forward queued requests only for a clear gain, and only once. */
   bool mHandOnHysteresis = true;
 };
 
-/** Settings of the admission at one host. */
+/** Settings of the admission policy of one host. */
 struct AdmissionOptions
 {
   std::uint32_t mSlots = 2;
@@ -68,10 +72,10 @@
   std::uint64_t mSeed = 1;
 };
 
-/** The options of a service: class i is rule i, and one more class, the last,
- * takes requests that no rule meets. The most important class above Normal
- * gets a reserved slot, and classes that may wait never hold the last slot, if
- * hosts have two slots or more and the service has several classes.
+/** The options of a service: class i is rule i, and an additional last class
+ * takes requests that match no rule. If hosts have at least two slots and the
+ * service has several classes, the most important class above Normal gets a
+ * reserved slot, and deferrable classes never hold the last slot.
  */
 AdmissionOptions MakeAdmissionOptions(const Service& aService,
                                       std::uint64_t aSeed);
--- a/src/decide/AdmissionPolicy.cpp
+++ b/src/decide/AdmissionPolicy.cpp
@@ -12,8 +12,8 @@
 {
   if (aOptions.mSlots == 0 || aOptions.mClasses.empty()) {
     return Fail(ErrorKind::InvalidInput,
-                "an admission without slots or without classes",
-                "set mSlots to 1 or more and give at least one class");
+                "admission policy has no slots or no classes",
+                "set mSlots to at least 1 and add at least one class");
   }
   if (aName == "reservation") {
     return std::make_unique<ReservationAdmission>(aOptions);
@@ -22,7 +22,7 @@
     return std::make_unique<BaselineAdmission>(aOptions, aName == "priority");
   }
   return Fail(ErrorKind::InvalidInput,
-              "no admission policy is named \"" + std::string(aName) + "\"",
+              "unknown admission policy \"" + std::string(aName) + "\"",
               "use reservation, priority or fifo");
 }
 
--- a/src/decide/BalancingPolicy.cpp
+++ b/src/decide/BalancingPolicy.cpp
@@ -21,12 +21,12 @@
   return std::uniform_real_distribution<double>(0.0, 1.0)(aRng);
 }
 
-// The indexes that may be picked: those with weight, or all if none has any.
-// It lives with its policy, so that a pick allocates nothing once warm.
-class Eligible
+// The indexes of the candidates with weight, or of all if none has weight.
+// Reuses its buffer, so that a pick doesn't allocate after the first few.
+class EligibleCandidates
 {
 public:
-  std::span<const std::size_t> Of(std::span<const Candidate> aCandidates)
+  std::span<const std::size_t> Select(std::span<const Candidate> aCandidates)
   {
     mIndexes.clear();
     for (std::size_t i = 0; i < aCandidates.size(); ++i) {
@@ -62,7 +62,7 @@
   return aIndexes.back();
 }
 
-// Knows nothing of load; the yardstick for those that do.
+// Ignores load; the baseline for the policies that use it.
 class RandomPolicy final : public BalancingPolicy
 {
 public:
@@ -77,7 +77,7 @@
                    std::span<const Candidate> aCandidates,
                    Time /*aNow*/) override
   {
-    const auto indexes = mEligible.Of(aCandidates);
+    const auto indexes = mEligible.Select(aCandidates);
     mWeights.clear();
     for (auto it : indexes) {
       mWeights.push_back(aCandidates[it].mWeight);
@@ -87,13 +87,13 @@
 
 private:
   Rng mRng;
-  Eligible mEligible;
+  EligibleCandidates mEligible;
   std::vector<double> mWeights;
 };
 
-// The first candidate in rendezvous order. A host in slow start is passed over
-// by the share of flows that it should not have yet; which ones depends on the
-// flow alone, so that every chooser agrees.
+// Picks the first candidate in rendezvous order. A host in slow start is
+// skipped for the share of flows that it should not get yet; the skipped flows
+// depend on the flow hash alone, so that all balancers agree.
 class RendezvousPolicy final : public BalancingPolicy
 {
 public:
@@ -107,7 +107,7 @@
   std::size_t Pick(std::uint64_t aFlow, std::span<const Candidate> aCandidates,
                    Time /*aNow*/) override
   {
-    const auto indexes = mEligible.Of(aCandidates);
+    const auto indexes = mEligible.Select(aCandidates);
     for (auto it : indexes) {
       const auto& candidate = aCandidates[it];
       const auto hash = MixHash(aFlow, MixHash(candidate.mHost.mValue, mSeed));
@@ -121,12 +121,12 @@
 
 private:
   std::uint64_t mSeed;
-  Eligible mEligible;
+  EligibleCandidates mEligible;
 };
 
-// The lighter of two candidates drawn at random. Two, not the lightest of all:
-// figures are stale by an exchange, and choosers that all see the same lightest
-// host would run it over together, while random pairs spread them.
+// Picks the less loaded of two candidates drawn at random. Load reports are
+// stale by one exchange: if every balancer picked the least loaded host of all,
+// they would overload it together; random pairs spread the flows.
 class TwoChoicesPolicy final : public BalancingPolicy
 {
 public:
@@ -140,27 +140,27 @@
   std::size_t Pick(std::uint64_t /*aFlow*/,
                    std::span<const Candidate> aCandidates, Time aNow) override
   {
-    const auto indexes = mEligible.Of(aCandidates);
-    const auto first = indexes[Draw(indexes.size())];
+    const auto indexes = mEligible.Select(aCandidates);
+    const auto first = indexes[DrawIndex(indexes.size())];
     auto second = first;
     if (indexes.size() > 1) {
-      const auto at = Draw(indexes.size() - 1);
+      const auto at = DrawIndex(indexes.size() - 1);
       second = indexes[at] == first ? indexes.back() : indexes[at];
     }
-    const bool firstWins =
+    const bool isFirstCheaper =
       Cost(aCandidates[first], aNow) <= Cost(aCandidates[second], aNow);
-    const auto picked = firstWins ? first : second;
-    mLedger.Note(aCandidates[picked]);
+    const auto picked = isFirstCheaper ? first : second;
+    mLedger.RecordPick(aCandidates[picked]);
     return picked;
   }
 
 private:
-  std::size_t Draw(std::size_t aCount)
+  std::size_t DrawIndex(std::size_t aCount)
   {
     return std::uniform_int_distribution<std::size_t>(0, aCount - 1)(mRng);
   }
 
-  // The load with this request, as if the host had only its weight of slots.
+  // The load including this request, with the slots scaled by the weight.
   double Cost(const Candidate& aCandidate, Time aNow)
   {
     const double slots = std::max<std::uint32_t>(1, aCandidate.mLoad.mSlots);
@@ -169,13 +169,14 @@
   }
 
   Rng mRng;
-  Eligible mEligible;
+  EligibleCandidates mEligible;
   PickLedger mLedger;
 };
 
-// Draws by the inverse square of the observed latency. Always the least would
-// be a herd (see ShiftLimiter). A host never falls below a twentieth, so that
-// its latency is seen again when it has recovered.
+// Draws by the inverse square of the observed latency. Always picking the
+// lowest latency would send the flows of all balancers to one host (see
+// ShiftLimiter). A host keeps at least a twentieth of a share, so that its
+// recovery is observed.
 class LeastLatencyPolicy final : public BalancingPolicy
 {
 public:
@@ -189,12 +190,12 @@
   std::size_t Pick(std::uint64_t /*aFlow*/,
                    std::span<const Candidate> aCandidates, Time aNow) override
   {
-    const auto indexes = mEligible.Of(aCandidates);
-    const Duration best = Best(indexes, aCandidates);
+    const auto indexes = mEligible.Select(aCandidates);
+    const Duration best = LowestLatency(indexes, aCandidates);
     mWeights.clear();
     for (auto it : indexes) {
       const auto& candidate = aCandidates[it];
-      const double target = Target(candidate.mLoad.mLatency, best);
+      const double target = TargetShare(candidate.mLoad.mLatency, best);
       const double share = mLimiter.Move(candidate.mHost, target, aNow);
       mWeights.push_back(share * std::max(candidate.mWeight, 1e-6));
     }
@@ -202,11 +203,11 @@
   }
 
 private:
-  static constexpr double kLeastShare = 0.05;
+  static constexpr double kMinShare = 0.05;
 
-  // The least known latency; zero if none is known.
-  static Duration Best(std::span<const std::size_t> aIndexes,
-                       std::span<const Candidate> aCandidates)
+  // The lowest known latency; zero if none is known.
+  static Duration LowestLatency(std::span<const std::size_t> aIndexes,
+                                std::span<const Candidate> aCandidates)
   {
     Duration best{};
     for (auto it : aIndexes) {
@@ -218,20 +219,20 @@
     return best;
   }
 
-  // A host without a figure counts as the best; the limiter and slow start
-  // keep it from being run over.
-  static double Target(Duration aLatency, Duration aBest)
+  // A host without a latency counts as the best; the limiter and slow start
+  // protect it from overload.
+  static double TargetShare(Duration aLatency, Duration aBest)
   {
     if (aLatency <= Duration{}) {
       return 1.0;
     }
     const double ratio = static_cast<double>(aBest.count()) /
                          static_cast<double>(aLatency.count());
-    return std::max(kLeastShare, ratio * ratio);
+    return std::max(kMinShare, ratio * ratio);
   }
 
   Rng mRng;
-  Eligible mEligible;
+  EligibleCandidates mEligible;
   ShiftLimiter mLimiter;
   std::vector<double> mWeights;
 };
@@ -263,7 +264,7 @@
     return std::make_unique<LeastLatencyPolicy>(aSeed);
   }
   return Fail(ErrorKind::InvalidInput,
-              "no balancing policy is named \"" + std::string(aName) + "\"",
+              "unknown balancing policy \"" + std::string(aName) + "\"",
               "use random, rendezvous, two-choices or least-latency");
 }
 
--- a/src/decide/BalancingPolicy.h
+++ b/src/decide/BalancingPolicy.h
@@ -13,31 +13,31 @@
 
 namespace heatherplank {
 
-/** Picks the owner of a new flow among its candidates. Flows that have an
- * owner keep it when the policy changes. Not thread safe.
+/** Picks the owner of a new flow among its candidates. Flows that have an owner
+ * keep it when the policy changes. Not thread safe.
  */
 class BalancingPolicy
 {
 public:
   virtual ~BalancingPolicy() = default;
 
-  /** The name by which operators choose it. */
+  /** The name by which operators select the policy. */
   virtual std::string_view Name() const = 0;
 
-  /** The index of the owner. aCandidates are in rendezvous order; those of
-   * weight 0 are passed over while any other is left. Precondition: at least
-   * one candidate. aFlow is the flow's hash. */
+  /** The index of the owner. aCandidates are in rendezvous order; candidates of
+   * weight 0 are skipped unless all have weight 0. aFlow is the hash of the
+   * flow. Precondition: at least one candidate. */
   virtual std::size_t Pick(std::uint64_t aFlow,
                            std::span<const Candidate> aCandidates,
                            Time aNow) = 0;
 };
 
-/** The names that MakeBalancingPolicy knows. */
+/** The names that MakeBalancingPolicy accepts. */
 std::span<const std::string_view> BalancingPolicyNames();
 
 /** Makes a policy by name ("random", "rendezvous", "two-choices",
- * "least-latency"); InvalidInput for another one. The same seed gives the same
- * picks. */
+ * "least-latency"); InvalidInput for another name. The same seed gives the
+ * same picks. */
 Result<std::unique_ptr<BalancingPolicy>> MakeBalancingPolicy(
   std::string_view aName, std::uint64_t aSeed);
 
--- a/src/decide/BaselineAdmission.cpp
+++ b/src/decide/BaselineAdmission.cpp
@@ -43,7 +43,7 @@
     return;
   }
   queue.push_back(aRequest);
-  Fill(aOut);
+  DispatchQueued(aOut);
 }
 
 void BaselineAdmission::OnDone(RequestId aId, RunResult /*aResult*/,
@@ -52,7 +52,7 @@
 {
   mRunning.erase(aId);
   mLatency = aServiceTime;
-  Fill(aOut);
+  DispatchQueued(aOut);
 }
 
 bool BaselineAdmission::OnCancel(RequestId aId, Time /*aNow*/,
@@ -70,7 +70,7 @@
                                 Actions& aOut)
 {
   mOptions.mSlots = aSlots;
-  Fill(aOut);
+  DispatchQueued(aOut);
 }
 
 void BaselineAdmission::OnOptions(const AdmissionOptions& aOptions,
@@ -79,7 +79,7 @@
   const std::uint32_t slots = mOptions.mSlots;
   mOptions = aOptions;
   mOptions.mSlots = slots;
-  Fill(aOut);
+  DispatchQueued(aOut);
 }
 
 void BaselineAdmission::OnPeers(std::span<const Candidate> /*aPeers*/,
@@ -112,7 +112,7 @@
   return load;
 }
 
-void BaselineAdmission::Fill(Actions& aOut)
+void BaselineAdmission::DispatchQueued(Actions& aOut)
 {
   for (auto& [rank, queue] : mQueues) {
     while (!queue.empty() && mRunning.size() < mOptions.mSlots) {
--- a/src/decide/BaselineAdmission.h
+++ b/src/decide/BaselineAdmission.h
@@ -8,11 +8,11 @@
 
 namespace heatherplank {
 
-/** The yardsticks that ours is measured against; not for use.
+/** Baselines for comparison with ReservationAdmission; not for production.
  *
- * Without priority: one queue in order of arrival, no bound, no deadline, which
- * is what a host without admission does. With priority: the most important
- * class first, each in order of arrival and bounded by its queue limit.
+ * Without priority: one unbounded FIFO queue without deadlines, like a host
+ * without admission control. With priority: the most important class first,
+ * each class in FIFO order and bounded by its queue limit.
  */
 class BaselineAdmission final : public AdmissionPolicy
 {
@@ -34,13 +34,13 @@
   HostLoad Load() const override;
 
 private:
-  void Fill(Actions& aOut);
+  void DispatchQueued(Actions& aOut);
 
   AdmissionOptions mOptions;
   bool mPriority;
   bool mDraining = false;
   Duration mLatency{};
-  // By negated importance, so that the first is the most important.
+  // Keyed by negated importance: the first queue is the most important.
   std::map<int, std::deque<Request>> mQueues;
   std::set<RequestId> mRunning;
 };
--- a/src/decide/ClassState.h
+++ b/src/decide/ClassState.h
@@ -11,11 +11,12 @@
 
 namespace heatherplank {
 
-/** How much slot time something took lately: a moving sum. Not thread safe. */
+/** Recent use of slot time as an exponentially decaying sum. Not thread safe.
+ */
 class SlotUse
 {
 public:
-  /** Precondition: aSeconds, over which it looks back, is above 0. */
+  /** Precondition: aSeconds, the time constant, is above 0. */
   explicit SlotUse(double aSeconds)
     : mWindow(aSeconds)
   {
@@ -24,67 +25,69 @@
   /** Adds slot time. */
   void Add(Duration aTime, Time aNow)
   {
-    mSeconds = At(aNow) + std::chrono::duration<double>(aTime).count();
-    mAt = aNow;
+    mSlotSeconds =
+      SecondsAt(aNow) + std::chrono::duration<double>(aTime).count();
+    mUpdatedAt = aNow;
   }
 
-  /** Slots that were in use on average. */
-  double Slots(Time aNow) const { return At(aNow) / mWindow; }
+  /** Average number of slots in use. */
+  double Slots(Time aNow) const { return SecondsAt(aNow) / mWindow; }
 
 private:
-  double At(Time aNow) const
+  double SecondsAt(Time aNow) const
   {
-    if (mSeconds == 0) {
+    if (mSlotSeconds == 0) {
       return 0;
     }
-    const std::chrono::duration<double> since = aNow - mAt;
-    return mSeconds * std::exp(-since.count() / mWindow);
+    const std::chrono::duration<double> since = aNow - mUpdatedAt;
+    return mSlotSeconds * std::exp(-since.count() / mWindow);
   }
 
   double mWindow;
-  double mSeconds = 0;
-  Time mAt;
+  double mSlotSeconds = 0;
+  Time mUpdatedAt;
 };
 
-/** What the admission at a host holds of one class. */
+/** The admission state of one class on a host. */
 struct ClassState
 {
   ClassState(const ClassOptions& aOptions, const AdmissionGuards& aGuards,
              std::uint64_t aSeed)
     : mOptions(aOptions)
     , mQueue(aSeed, aGuards.mFairness)
-    , mTimes(aOptions.mDeadline)
-    , mReturns(aSeed, aGuards.mSpreadReturns)
+    , mServiceTimes(aOptions.mDeadline)
+    , mReturnPlanner(aSeed, aGuards.mSpreadReturns)
   {
   }
 
-  /** Takes over what was observed of the class under its former options. */
-  void Learn(const ClassState& aFormer)
+  /** Copies the observations of the class under its previous options. */
+  void CopyObservations(const ClassState& aPrevious)
   {
-    mTimes = aFormer.mTimes;
-    mUse = aFormer.mUse;
-    mLongUse = aFormer.mLongUse;
-    mTaken = aFormer.mTaken;
-    mNextProbe = aFormer.mNextProbe;
-    mEmptyAt = aFormer.mEmptyAt;
+    mServiceTimes = aPrevious.mServiceTimes;
+    mRecentUse = aPrevious.mRecentUse;
+    mLongTermUse = aPrevious.mLongTermUse;
+    mWeightedUse = aPrevious.mWeightedUse;
+    mNextProbe = aPrevious.mNextProbe;
+    mLastEmptyAt = aPrevious.mLastEmptyAt;
   }
 
-  /** How many would run before a new request of the caller. */
-  std::uint32_t Ahead(std::uint64_t aCaller) const
+  /** Number of requests that would run before a new request of the caller. */
+  std::uint32_t CountAhead(std::uint64_t aCaller) const
   {
-    return mOptions.mMayWait ? mQueue.Size() : mQueue.Ahead(aCaller);
+    return mOptions.mMayWait ? mQueue.Size() : mQueue.CountAhead(aCaller);
   }
 
-  /** Takes what runs next; null if nothing waits. Work that may wait goes by
-   * its deadline, since all of it was promised to run: served in turn, what
-   * busy callers had sent long ago fell behind what came later, until it was
-   * late. Other work goes by the turn of its callers. */
-  Waiting* TakeNext()
+  /** Removes and returns the next request to run; null if none is queued.
+   * Deferrable work goes by deadline, since all of it was admitted to run:
+   * served round-robin, old requests of busy callers fell behind newer ones of
+   * other callers until they were late. Other work is served round-robin by
+   * caller. */
+  QueuedRequest* TakeNext()
   {
     if (!mOptions.mMayWait) {
       return mQueue.Pop();
     }
-    Waiting* earliest = mQueue.Earliest();
+    QueuedRequest* earliest = mQueue.EarliestDeadline();
     if (earliest != nullptr) {
       mQueue.Remove(*earliest);
     }
@@ -93,21 +96,22 @@
 
   ClassOptions mOptions;
   FairQueue mQueue;
-  ServiceTimes mTimes;
-  ReturnPlanner mReturns;
-  /** Over a second, some twenty answers of today's services, for work that
-   * waits less than that; and over ten for work that may wait through a burst.
+  ServiceTimes mServiceTimes;
+  ReturnPlanner mReturnPlanner;
+  /** Over one second (about twenty answers of typical services), for work that
+   * waits less than that; over ten seconds for deferrable work, which may wait
+   * through a burst.
    */
-  SlotUse mUse{ 1.0 };
-  SlotUse mLongUse{ 10.0 };
-  /** Slots that it holds. */
+  SlotUse mRecentUse{ 1.0 };
+  SlotUse mLongTermUse{ 10.0 };
+  /** Slots in use by the class. */
   std::uint32_t mRunning = 0;
-  /** Slot time taken, divided by the share; with ClassOrder::Share. */
-  double mTaken = 0;
-  /** When the next probe may start. */
+  /** Slot time used, divided by the share; for ClassOrder::Share. */
+  double mWeightedUse = 0;
+  /** Earliest time of the next probe. */
   Time mNextProbe;
-  /** When its queue was last seen empty. */
-  Time mEmptyAt;
+  /** Time at which the queue was last observed empty. */
+  Time mLastEmptyAt;
 };
 
 } // namespace heatherplank
--- a/src/decide/FairQueue.cpp
+++ b/src/decide/FairQueue.cpp
@@ -8,7 +8,7 @@
 
 // Fibonacci hashing: the top bits of the product are well mixed.
 constexpr std::uint64_t kGoldenRatio = 0x9e3779b97f4a7c15;
-constexpr int kLaneShift = 56;
+constexpr int kHashShift = 56;
 
 } // namespace
 
@@ -18,63 +18,63 @@
 {
 }
 
-void FairQueue::Push(Waiting& aWaiting)
+void FairQueue::Push(QueuedRequest& aQueued)
 {
-  Lane& lane = mLanes[LaneOf(aWaiting.mRequest.mCaller)];
-  if (lane.mList.empty()) {
-    mActive.push_back(lane);
+  CallerQueue& queue = mCallerQueues[QueueIndexOf(aQueued.mRequest.mCaller)];
+  if (queue.mList.empty()) {
+    mActive.push_back(queue);
   }
-  lane.mList.push_back(aWaiting);
-  mDeadlines.insert(aWaiting);
+  queue.mList.push_back(aQueued);
+  mDeadlines.insert(aQueued);
   ++mSize;
 }
 
-Waiting* FairQueue::Pop()
+QueuedRequest* FairQueue::Pop()
 {
   if (mActive.empty()) {
     return nullptr;
   }
-  Lane& lane = mActive.front();
-  Waiting& first = lane.mList.front();
+  CallerQueue& queue = mActive.front();
+  QueuedRequest& first = queue.mList.front();
   mActive.pop_front();
-  mActive.push_back(lane);
+  mActive.push_back(queue);
   Remove(first);
   return &first;
 }
 
-void FairQueue::Remove(Waiting& aWaiting)
+void FairQueue::Remove(QueuedRequest& aQueued)
 {
-  Lane& lane = mLanes[LaneOf(aWaiting.mRequest.mCaller)];
-  lane.mList.erase(lane.mList.iterator_to(aWaiting));
-  mDeadlines.erase(mDeadlines.iterator_to(aWaiting));
+  CallerQueue& queue = mCallerQueues[QueueIndexOf(aQueued.mRequest.mCaller)];
+  queue.mList.erase(queue.mList.iterator_to(aQueued));
+  mDeadlines.erase(mDeadlines.iterator_to(aQueued));
   --mSize;
-  if (lane.mList.empty()) {
-    mActive.erase(mActive.iterator_to(lane));
+  if (queue.mList.empty()) {
+    mActive.erase(mActive.iterator_to(queue));
   }
 }
 
-Waiting* FairQueue::Earliest()
+QueuedRequest* FairQueue::EarliestDeadline()
 {
   return mDeadlines.empty() ? nullptr : &*mDeadlines.begin();
 }
 
-Waiting* FairQueue::LastOfLongest()
+QueuedRequest* FairQueue::LastOfLongest()
 {
-  auto shorter = [](const Lane& aLeft, const Lane& aRight) {
+  auto shorter = [](const CallerQueue& aLeft, const CallerQueue& aRight) {
     return aLeft.mList.size() < aRight.mList.size();
   };
   auto it = std::ranges::max_element(mActive, shorter);
   return it == mActive.end() ? nullptr : &it->mList.back();
 }
 
-std::vector<Waiting*> FairQueue::InOrder()
+std::vector<QueuedRequest*> FairQueue::InOrder()
 {
-  std::vector<Waiting*> all;
+  std::vector<QueuedRequest*> all;
   all.reserve(mSize);
-  std::vector<std::pair<std::size_t, Waiting*>> rounds;
-  for (auto& lane : mActive) {
+  std::vector<std::pair<std::size_t, QueuedRequest*>> rounds;
+  for (auto& queue : mActive) {
     std::size_t round = 0;
-    for (auto& it : lane.mList) {
+    for (auto& it : queue.mList) {
       rounds.emplace_back(round++, &it);
     }
   }
@@ -87,21 +87,22 @@
 
 std::uint32_t FairQueue::Depth(std::uint64_t aCaller) const
 {
-  return static_cast<std::uint32_t>(mLanes[LaneOf(aCaller)].mList.size());
+  return static_cast<std::uint32_t>(
+    mCallerQueues[QueueIndexOf(aCaller)].mList.size());
 }
 
-std::uint32_t FairQueue::Ahead(std::uint64_t aCaller) const
+std::uint32_t FairQueue::CountAhead(std::uint64_t aCaller) const
 {
   const std::uint32_t depth = Depth(aCaller);
-  return std::min(mSize, (depth + 1) * Lanes());
+  return std::min(mSize, (depth + 1) * ActiveQueues());
 }
 
-std::size_t FairQueue::LaneOf(std::uint64_t aCaller) const
+std::size_t FairQueue::QueueIndexOf(std::uint64_t aCaller) const
 {
   if (!mFair) {
     return 0;
   }
-  return ((aCaller ^ mSeed) * kGoldenRatio) >> kLaneShift;
+  return ((aCaller ^ mSeed) * kGoldenRatio) >> kHashShift;
 }
 
 } // namespace heatherplank
--- a/src/decide/FairQueue.h
+++ b/src/decide/FairQueue.h
@@ -11,105 +11,112 @@
 
 namespace heatherplank {
 
-/** A request that a FairQueue holds; owned by whoever pushed it. */
-struct Waiting
+/** A request in a FairQueue; owned by the code that pushed it. */
+struct QueuedRequest
 {
   Request mRequest;
-  /** Let in although its deadline looks out of reach, to learn if it is. */
+  /** Admitted to probe the service time although its deadline looks
+   * unreachable. */
   bool mProbe = false;
   boost::intrusive::list_member_hook<> mTurnHook;
   boost::intrusive::set_member_hook<> mDeadlineHook;
 };
 
-/** The requests of one class that wait, served caller by caller in turn.
+/** The queued requests of one class, served round-robin by caller.
  *
- * Load it answers: a few callers or keys that send most of the requests.
- * Without it they fill the queue, and the others are refused or wait behind
- * them. Callers are hashed into 256 lanes with the host's seed: memory is
- * bounded whatever the callers do, a caller who shares a lane with a busy one
- * here doesn't at the next host, and with the few busy callers this is meant
- * for, a lane is shared by chance of one in eighty.
+ * Guards against: a few callers or keys that send most of the requests. They
+ * would fill the queue, and other callers would be refused or wait behind them.
+ * Callers are hashed with the host's seed into 256 per-caller queues, which
+ * bounds memory for any number of callers. A caller that shares a queue with a
+ * busy one on this host doesn't on the next host; with the few busy callers
+ * that the class is designed for, the probability of sharing is one in eighty.
  *
- * Push, pop and removal cost the same whatever the length, but for the order
- * by deadline, which is logarithmic. Not thread safe.
+ * Push, pop and removal take constant time, except for the order by deadline,
+ * which takes logarithmic time. Not thread safe.
  */
 class FairQueue
 {
 public:
-  /** With aFair off all callers share one lane. */
+  /** With aFair false, all callers share one queue. */
   FairQueue(std::uint64_t aSeed, bool aFair);
 
   FairQueue(FairQueue&&) = delete;
 
-  /** Adds at the end of the caller's lane. Precondition: not in a queue; it
-   * outlives its stay. */
-  void Push(Waiting& aWaiting);
+  /** Appends to the caller's queue. Precondition: aQueued is in no queue; it
+   * must outlive its time in the queue. */
+  void Push(QueuedRequest& aQueued);
 
-  /** Takes the first of the lane whose turn it is; null if empty. */
-  Waiting* Pop();
+  /** Removes the first request of the per-caller queue whose turn it is; null
+   * if empty. */
+  QueuedRequest* Pop();
 
-  /** Takes out one that is in this queue. */
-  void Remove(Waiting& aWaiting);
+  /** Removes a request that is in this queue. */
+  void Remove(QueuedRequest& aQueued);
 
-  /** The one with the earliest deadline; null if empty. */
-  Waiting* Earliest();
+  /** The request with the earliest deadline; null if empty. */
+  QueuedRequest* EarliestDeadline();
 
-  /** The last of the longest lane: who takes most gives first. Null if empty.
+  /** The last request of the longest per-caller queue, so that the busiest
+   * caller yields first. Null if empty.
    */
-  Waiting* LastOfLongest();
+  QueuedRequest* LastOfLongest();
 
-  /** All that wait, in the order in which they would be served. */
-  std::vector<Waiting*> InOrder();
+  /** All queued requests in the order in which they would be served. */
+  std::vector<QueuedRequest*> InOrder();
 
   std::uint32_t Size() const { return mSize; }
 
-  /** How many lanes hold something. */
-  std::uint32_t Lanes() const
+  /** Number of per-caller queues that are not empty. */
+  std::uint32_t ActiveQueues() const
   {
     return static_cast<std::uint32_t>(mActive.size());
   }
 
-  /** How many of a caller's lane wait. */
+  /** Number of requests in the caller's queue. */
   std::uint32_t Depth(std::uint64_t aCaller) const;
 
-  /** How many would be served before a new request of the caller. */
-  std::uint32_t Ahead(std::uint64_t aCaller) const;
+  /** Number of requests that would be served before a new one of the caller. */
+  std::uint32_t CountAhead(std::uint64_t aCaller) const;
 
 private:
   struct ByDeadline
   {
-    bool operator()(const Waiting& aLeft, const Waiting& aRight) const
+    bool operator()(const QueuedRequest& aLeft,
+                    const QueuedRequest& aRight) const
     {
       return aLeft.mRequest.mDeadline < aRight.mRequest.mDeadline;
     }
   };
   using TurnList = boost::intrusive::list<
-    Waiting,
-    boost::intrusive::member_hook<Waiting, boost::intrusive::list_member_hook<>,
-                                  &Waiting::mTurnHook>>;
+    QueuedRequest, boost::intrusive::member_hook<
+                     QueuedRequest, boost::intrusive::list_member_hook<>,
+                     &QueuedRequest::mTurnHook>>;
   using DeadlineSet = boost::intrusive::multiset<
-    Waiting,
-    boost::intrusive::member_hook<Waiting, boost::intrusive::set_member_hook<>,
-                                  &Waiting::mDeadlineHook>,
+    QueuedRequest,
+    boost::intrusive::member_hook<QueuedRequest,
+                                  boost::intrusive::set_member_hook<>,
+                                  &QueuedRequest::mDeadlineHook>,
     boost::intrusive::compare<ByDeadline>>;
 
-  struct Lane
+  struct CallerQueue
   {
     TurnList mList;
     boost::intrusive::list_member_hook<> mActiveHook;
   };
-  using ActiveList = boost::intrusive::list<
-    Lane, boost::intrusive::member_hook<
-            Lane, boost::intrusive::list_member_hook<>, &Lane::mActiveHook>>;
+  using ActiveList =
+    boost::intrusive::list<CallerQueue,
+                           boost::intrusive::member_hook<
+                             CallerQueue, boost::intrusive::list_member_hook<>,
+                             &CallerQueue::mActiveHook>>;
 
-  static constexpr std::size_t kLanes = 256;
+  static constexpr std::size_t kCallerQueues = 256;
 
-  std::size_t LaneOf(std::uint64_t aCaller) const;
+  std::size_t QueueIndexOf(std::uint64_t aCaller) const;
 
   std::uint64_t mSeed;
   bool mFair;
   std::uint32_t mSize = 0;
-  std::array<Lane, kLanes> mLanes;
+  std::array<CallerQueue, kCallerQueues> mCallerQueues;
   ActiveList mActive;
   DeadlineSet mDeadlines;
 };
--- a/src/decide/HostLoad.h
+++ b/src/decide/HostLoad.h
@@ -7,46 +7,47 @@
 
 namespace heatherplank {
 
-/** What an agent tells other agents about its host: its own counts, never what
- * the backend server's endpoints say.
+/** The load that an agent reports about its host to other agents. All values
+ * are the agent's own counts, never reports of the backend server's endpoints.
  */
 struct HostLoad
 {
-  /** Requests that wait for a slot. */
+  /** Queued requests. */
   std::uint32_t mQueued = 0;
   /** Slots in use. */
   std::uint32_t mBusy = 0;
-  /** Slots that may be used. */
+  /** Usable slots. */
   std::uint32_t mSlots = 1;
-  /** Moving average of an answer's time, queue included; zero if none yet. */
+  /** Moving average of the time to answer, including the queue; zero if there
+   * was no answer yet. */
   Duration mLatency{};
-  /** Moving mean of what requests take in a slot, queue not included; zero if
-   * none was seen lately. */
+  /** Moving mean of the time that requests hold a slot, excluding the queue;
+   * zero without a recent answer. */
   Duration mServiceTime{};
   /** Moving share (0 to 1) of dispatched requests that failed or timed out. A
    * host that fails fast has short queues; by load alone it would look best. */
   double mFailing = 0;
-  /** Results so far that these figures were counted from; the same
-   * number again means that nothing new is known. */
+  /** Number of results that these values were computed from; an unchanged
+   * number means that the values are unchanged. */
   std::uint64_t mResults = 0;
-  /** Time since the figures were taken, when they are read. */
+  /** Age of the values at the time they are read. */
   Duration mAge{};
 };
 
-/** Requests at the host for each of its slots. */
+/** Requests on the host per slot. */
 inline double LoadPerSlot(const HostLoad& aLoad)
 {
   const double slots = aLoad.mSlots == 0 ? 1.0 : aLoad.mSlots;
   return (aLoad.mQueued + aLoad.mBusy) / slots;
 }
 
-/** A host that could take a request or flow. */
+/** A host that can take a request or flow. */
 struct Candidate
 {
   HostId mHost;
   HostLoad mLoad;
-  /** Share of work that it may get: 1 the full one, below 1 during slow start,
-   * 0 while it is held out (outlier, draining, no answer). */
+  /** Share of work that it may get: 1 is the full share, below 1 during slow
+   * start, 0 while it is excluded (outlier, draining, unresponsive). */
   double mWeight = 1.0;
 };
 
--- a/src/decide/OutlierDetector.cpp
+++ b/src/decide/OutlierDetector.cpp
@@ -13,38 +13,39 @@
 
 using namespace std::chrono_literals;
 
-constexpr Duration kFirstOut = 2s;
-constexpr Duration kLongestOut = 30s;
+constexpr Duration kFirstEjection = 2s;
+constexpr Duration kMaxEjection = 30s;
 constexpr std::uint32_t kCapDivisor = 3;
-constexpr std::uint32_t kGoodAnswers = 5;
-// Failures in a row that hold a host out, and with an unhealthy hint. Chance
-// alone makes five in a row at 10 % of failures once in 100,000 requests.
-constexpr std::uint32_t kFailures = 5;
-constexpr std::uint32_t kFailuresWithHint = 3;
-// Five failures in a row take the moving share of HostLoad::mFailing to this.
-constexpr double kFailingShare = 0.48;
-// Against the median of the hosts. Under a factor of three lies what slots of
-// two and uneven work do by themselves.
-constexpr double kTimesMedian = 3.0;
-constexpr double kLeastFailing = 0.2;
-constexpr double kNewWeight = 0.125;
-constexpr std::uint32_t kFewest = 10;
+constexpr std::uint32_t kRecoveryAnswers = 5;
+// Consecutive failures that eject a host, without and with an unhealthy hint.
+// At a failure rate of 10 %, five in a row occur by chance once in 100,000
+// requests.
+constexpr std::uint32_t kEjectionFailures = 5;
+constexpr std::uint32_t kEjectionFailuresWithHint = 3;
+// HostLoad::mFailing after five consecutive failures.
+constexpr double kFailureRateLimit = 0.48;
+// Ejection threshold as a multiple of the median host. Hosts with two slots and
+// uneven work differ by up to a factor of three without any fault.
+constexpr double kMedianFactor = 3.0;
+constexpr double kMinFailureRate = 0.2;
+constexpr double kSampleWeight = 0.125;
+constexpr std::uint32_t kMinSamples = 10;
 
 struct Record
 {
   std::uint32_t mFailuresInARow = 0;
   std::uint32_t mAnswersInARow = 0;
-  std::uint32_t mSeen = 0;
-  /** HostLoad::mResults when its figures last held it out. */
+  std::uint32_t mSamples = 0;
+  /** HostLoad::mResults of the load report that last ejected the host. */
   std::uint64_t mResults = 0;
   double mFailing = 0;
   double mLatency = 0;
   bool mUnhealthyHint = false;
-  std::uint32_t mTimesOut = 0;
-  Time mOutUntil;
+  std::uint32_t mEjections = 0;
+  Time mEjectedUntil;
 };
 
-// What both ways share: records, the cap, the time out.
+// Base of both detectors: records, cap and ejection time.
 class DetectorBase : public OutlierDetector
 {
 public:
@@ -65,26 +66,27 @@
                 Time aNow) override
   {
     Record& record = mRecords[aHost];
-    Count(record, aAnswered, aLatency);
-    if (aNow >= record.mOutUntil && IsOutlier(record)) {
-      HoldOut(record, aNow);
+    CountResult(record, aAnswered, aLatency);
+    if (aNow >= record.mEjectedUntil && IsOutlier(record)) {
+      Eject(record, aNow);
     }
   }
 
   void OnFigures(HostId aHost, const HostLoad& aLoad, Time aNow) override
   {
     Record& record = mRecords[aHost];
-    // Figures from before it was held out would hold it out again, and so
-    // would the same ones after it, as it got no work that could better them.
-    const bool isOld = aNow - aLoad.mAge < record.mOutUntil;
-    if (isOld || aLoad.mResults < record.mResults + kGoodAnswers) {
+    // A load report from before the ejection would eject the host again. So
+    // would an unchanged report after it, since the host got no work that could
+    // improve its values.
+    const bool isStale = aNow - aLoad.mAge < record.mEjectedUntil;
+    if (isStale || aLoad.mResults < record.mResults + kRecoveryAnswers) {
       return;
     }
     record.mFailing = aLoad.mFailing;
     record.mLatency = static_cast<double>(aLoad.mServiceTime.count());
-    record.mSeen = std::max(record.mSeen, kFewest);
-    if (IsOutlier(record) || aLoad.mFailing >= kFailingShare) {
-      HoldOut(record, aNow);
+    record.mSamples = std::max(record.mSamples, kMinSamples);
+    if (IsOutlier(record) || aLoad.mFailing >= kFailureRateLimit) {
+      Eject(record, aNow);
       record.mResults = aLoad.mResults;
     }
   }
@@ -92,7 +94,7 @@
   bool IsOut(HostId aHost, Time aNow) const override
   {
     auto it = mRecords.find(aHost);
-    return it != mRecords.end() && aNow < it->second.mOutUntil;
+    return it != mRecords.end() && aNow < it->second.mEjectedUntil;
   }
 
 protected:
@@ -101,11 +103,11 @@
   std::map<HostId, Record> mRecords;
 
 private:
-  static void Count(Record& aRecord, bool aAnswered, Duration aLatency)
+  static void CountResult(Record& aRecord, bool aAnswered, Duration aLatency)
   {
-    ++aRecord.mSeen;
+    ++aRecord.mSamples;
     const double failed = aAnswered ? 0.0 : 1.0;
-    aRecord.mFailing += (failed - aRecord.mFailing) * kNewWeight;
+    aRecord.mFailing += (failed - aRecord.mFailing) * kSampleWeight;
     if (!aAnswered) {
       ++aRecord.mFailuresInARow;
       aRecord.mAnswersInARow = 0;
@@ -113,31 +115,32 @@
     }
     const auto latency = static_cast<double>(aLatency.count());
     const bool isFirst = aRecord.mLatency == 0;
-    const double weight = isFirst ? 1.0 : kNewWeight;
+    const double weight = isFirst ? 1.0 : kSampleWeight;
     aRecord.mLatency += (latency - aRecord.mLatency) * weight;
     aRecord.mFailuresInARow = 0;
-    if (++aRecord.mAnswersInARow >= kGoodAnswers) {
-      aRecord.mTimesOut = 0;
+    if (++aRecord.mAnswersInARow >= kRecoveryAnswers) {
+      aRecord.mEjections = 0;
     }
   }
 
-  void HoldOut(Record& aRecord, Time aNow)
+  void Eject(Record& aRecord, Time aNow)
   {
-    std::uint32_t out = 0;
+    std::uint32_t ejected = 0;
     for (const auto& [host, it] : mRecords) {
-      out += aNow < it.mOutUntil ? 1 : 0;
+      ejected += aNow < it.mEjectedUntil ? 1 : 0;
     }
     const auto hosts = static_cast<std::uint32_t>(mRecords.size());
-    if (mCapped && out >= hosts / kCapDivisor) {
+    if (mCapped && ejected >= hosts / kCapDivisor) {
       return;
     }
-    const Duration wait = kFirstOut * (1U << std::min(aRecord.mTimesOut, 4U));
-    ++aRecord.mTimesOut;
-    aRecord.mOutUntil = aNow + std::min(wait, kLongestOut);
-    // It starts over: what it did before would hold it out at once again.
+    const Duration wait =
+      kFirstEjection * (1U << std::min(aRecord.mEjections, 4U));
+    ++aRecord.mEjections;
+    aRecord.mEjectedUntil = aNow + std::min(wait, kMaxEjection);
+    // Resets the record: the old results would eject the host again at once.
     aRecord.mFailuresInARow = 0;
     aRecord.mAnswersInARow = 0;
-    aRecord.mSeen = 0;
+    aRecord.mSamples = 0;
     aRecord.mFailing = 0;
     aRecord.mLatency = 0;
   }
@@ -153,9 +156,9 @@
 protected:
   bool IsOutlier(const Record& aRecord) override
   {
-    const std::uint32_t enough =
-      aRecord.mUnhealthyHint ? kFailuresWithHint : kFailures;
-    return aRecord.mFailuresInARow >= enough;
+    const std::uint32_t threshold =
+      aRecord.mUnhealthyHint ? kEjectionFailuresWithHint : kEjectionFailures;
+    return aRecord.mFailuresInARow >= threshold;
   }
 };
 
@@ -167,16 +170,17 @@
 protected:
   bool IsOutlier(const Record& aRecord) override
   {
-    const std::uint32_t enough = aRecord.mUnhealthyHint ? kFewest / 2 : kFewest;
-    if (aRecord.mSeen < enough) {
+    const std::uint32_t threshold =
+      aRecord.mUnhealthyHint ? kMinSamples / 2 : kMinSamples;
+    if (aRecord.mSamples < threshold) {
       return false;
     }
     const double failing = Median(&Record::mFailing);
-    const bool failsMore = aRecord.mFailing > kLeastFailing &&
-                           aRecord.mFailing > kTimesMedian * failing;
+    const bool failsMore = aRecord.mFailing > kMinFailureRate &&
+                           aRecord.mFailing > kMedianFactor * failing;
     const double latency = Median(&Record::mLatency);
     const bool isSlow =
-      latency > 0 && aRecord.mLatency > kTimesMedian * latency;
+      latency > 0 && aRecord.mLatency > kMedianFactor * latency;
     return failsMore || isSlow;
   }
 
@@ -185,7 +189,7 @@
   {
     mScratch.clear();
     for (const auto& [host, it] : mRecords) {
-      // One without a latency was never called.
+      // A host without a latency was never called.
       if (it.mLatency > 0 || it.mFailing > 0) {
         mScratch.push_back(it.*aMember);
       }
@@ -211,7 +215,7 @@
     return std::make_unique<ComparedDetector>(aCapped);
   }
   return Fail(ErrorKind::InvalidInput,
-              "no outlier detector is named \"" + std::string(aName) + "\"",
+              "unknown outlier detector \"" + std::string(aName) + "\"",
               "use consecutive or compared");
 }
 
--- a/src/decide/OutlierDetector.h
+++ b/src/decide/OutlierDetector.h
@@ -10,19 +10,20 @@
 
 namespace heatherplank {
 
-/** Holds out hosts that fail, going by results that we saw ourselves.
+/** Ejects failing hosts based on the results observed by the load balancer.
  *
- * Load it answers: a backend server that fails or crawls while its health and
- * load endpoints say that it is well. A host that fails fast always has free
- * slots, so without this every policy that looks at load sends it more and
- * more. What the endpoints say is a hint only: "unhealthy" makes fewer failures
- * enough, and never holds a host out by itself; "healthy" counts for nothing.
+ * Guards against: a backend server that fails or is slow while its health and
+ * load endpoints report that it is healthy. A host that fails fast always has
+ * free slots, so every load-based policy would send it more and more work. The
+ * endpoints are only a hint: "unhealthy" lowers the number of failures that
+ * eject a host, but never ejects it by itself; "healthy" has no effect.
  *
- * At most a third of the hosts is out at once: when more fail together, the
- * cause is common to them, and the rest would be run over as well. A host is
- * out for 2 s at first, about the time of a restart, and twice as long each
- * time in a row, 30 s at most. After that it gets work again by the slow start
- * of the driver, and five good answers make it a host like any other.
+ * At most a third of the hosts is ejected at once: when more fail together,
+ * they share a cause, and ejecting them would overload the rest. The first
+ * ejection lasts 2 s, about the time of a restart; each consecutive one lasts
+ * twice as long, up to 30 s. Afterwards the driver's slow start gives the host
+ * work again, and five consecutive answers reset the length of its next
+ * ejection.
  *
  * Not thread safe.
  */
@@ -31,31 +32,32 @@
 public:
   virtual ~OutlierDetector() = default;
 
-  /** A host of the service; counts for the cap. Idempotent. */
+  /** Adds a host of the service; it counts for the cap. Idempotent. */
   virtual void Add(HostId aHost) = 0;
   virtual void Remove(HostId aHost) = 0;
 
-  /** A request to the host ended; aAnswered is false if it failed or timed
-   * out. A shed request is no failure. */
+  /** A request to the host ended; aAnswered is false if it failed or timed out.
+   * A shed request doesn't count as a failure. */
   virtual void OnResult(HostId aHost, bool aAnswered, Duration aLatency,
                         Time aNow) = 0;
 
-  /** The host's agent told its figures, counted from results that it saw. Of
-   * its times only the service time counts: mLatency holds the queue, and at
-   * saturation hosts with the longer queues would be held out for it. */
+  /** The host's agent reported its load, computed from the results it observed.
+   * Of the times in the report only the service time is used: mLatency
+   * includes the queue, and at saturation the hosts with longer queues would
+   * be ejected. */
   virtual void OnFigures(HostId aHost, const HostLoad& aLoad, Time aNow) = 0;
 
-  /** What the backend server's own endpoint says of it. */
+  /** The health that the backend server's own endpoint reports. */
   virtual void OnHint(HostId aHost, bool aHealthy) = 0;
 
-  /** True while the host should get no new work. */
+  /** True while the host is ejected and should get no new work. */
   virtual bool IsOut(HostId aHost, Time aNow) const = 0;
 };
 
-/** "consecutive": out after five failures in a row, whatever the others do.
- * "compared": out when it fails three times as often as the median host, or
- * takes three times as long to answer. InvalidInput for another name. With
- * aCapped off, any number of hosts may be out. */
+/** "consecutive": ejects after five failures in a row, regardless of other
+ * hosts. "compared": ejects a host that fails three times as often as the
+ * median host or takes three times as long to answer. InvalidInput for another
+ * name. With aCapped false, any number of hosts may be ejected. */
 Result<std::unique_ptr<OutlierDetector>> MakeOutlierDetector(
   std::string_view aName, bool aCapped = true);
 
--- a/src/decide/PickLedger.h
+++ b/src/decide/PickLedger.h
@@ -8,28 +8,29 @@
 
 namespace heatherplank {
 
-/** Adds to a host's figures what this chooser gave it since they were taken.
+/** Adds the picks made locally since the last load report to a host's reported
+ * load.
  *
- * Load it answers: a burst of new flows between two exchanges of figures.
- * Without it the host that was lightest at the last exchange gets the whole
- * burst. Picks count until figures newer than them arrive, and for a second at
- * most, since a request takes less.
+ * Guards against: a burst of new flows between two load reports. Without the
+ * picks, the host that was least loaded in the last report would get the whole
+ * burst. Picks count until a newer report arrives, and for at most a second,
+ * since a request takes less.
  *
  * Not thread safe.
  */
 class PickLedger
 {
 public:
-  /** Requests a slot at the host, own picks included. */
+  /** Requests per slot on the host, including local picks. */
   double Load(const Candidate& aCandidate, Time aNow);
 
-  /** Notes that the host was picked. */
-  void Note(const Candidate& aCandidate);
+  /** Records that the host was picked. */
+  void RecordPick(const Candidate& aCandidate);
 
 private:
   struct Entry
   {
-    Time mFiguresAt;
+    Time mReportedAt;
     std::uint32_t mPicks = 0;
   };
 
--- a/src/decide/Reasons.cpp
+++ b/src/decide/Reasons.cpp
@@ -40,7 +40,7 @@
       return "lost";
     case RetryReason::Draining:
       return "draining";
-    case RetryReason::LighterHost:
+    case RetryReason::LessLoadedHost:
       return "lighter_host";
   }
   return "unknown";
--- a/src/decide/Request.h
+++ b/src/decide/Request.h
@@ -6,19 +6,19 @@
 
 namespace heatherplank {
 
-/** Names a request within one host's decisions; chosen by the driver and never
- * used twice while the first is known. */
+/** Identifies a request on one host; chosen by the driver and not reused while
+ * the request is known. */
 using RequestId = std::uint64_t;
 
-/** What the decisions know of a request. Its class says the rest. */
+/** A request as seen by the admission policy; its class defines the rest. */
 struct Request
 {
   RequestId mId = 0;
   /** Index into AdmissionOptions::mClasses. */
   std::uint16_t mClass = 0;
-  /** How often it was handed on by other hosts before. */
+  /** How often other hosts forwarded it before. */
   std::uint16_t mHops = 0;
-  /** Bytes of the request, as a hint; 0 if unknown. */
+  /** Size of the request in bytes, as a hint; 0 if unknown. */
   std::uint32_t mSize = 0;
   /** Hash of the caller's address or key. */
   std::uint64_t mCaller = 0;
@@ -29,15 +29,15 @@
 /** How a dispatched request ended. */
 enum class RunResult : std::uint8_t
 {
-  /** Answered; the service time counts. */
+  /** Answered; the service time is valid. */
   Answered,
-  /** Answered by an error of the backend server. */
+  /** The backend server answered with an error. */
   Failed,
   /** Shed by the backend server: not run. */
   Shed,
   /** The backend server could not be reached: not run. */
   Unreachable,
-  /** No answer in time; it may have run. */
+  /** No answer before the deadline; it may have run. */
   TimedOut,
   /** Ended by the driver: cancelled, or never sent (no grant, host lost). */
   Abandoned,
--- a/src/decide/ReservationAdmission.cpp
+++ b/src/decide/ReservationAdmission.cpp
@@ -9,25 +9,26 @@
 
 using namespace std::chrono_literals;
 
-constexpr Duration kLeastSleep = 1ms;
-// Pauses after a backend server shed: from about one service time up to what
-// it takes a server to recover from garbage collection or a cache refill.
+constexpr Duration kMinSleep = 1ms;
+// Pauses after a backend server shed a request: from about one service time up
+// to the time a server needs to recover from garbage collection or a cache
+// refill.
 constexpr Duration kFirstPause = 10ms;
-constexpr std::uint32_t kMostDoublings = 6;
-// Weight of one more answer in the figures for other hosts.
-constexpr int kLatencyShare = 8;
-constexpr double kFailingShare = 0.125;
-// Answers in the mean service time: short and long work are mixed, and over 64
-// answers the mix is that of the other hosts.
-constexpr std::uint32_t kServiceCount = 64;
-constexpr Duration kForgetAfter = 1s;
+constexpr std::uint32_t kMaxDoublings = 6;
+// Weight of one answer in the moving averages that are reported to other hosts.
+constexpr int kLatencyDivisor = 8;
+constexpr double kFailureWeight = 0.125;
+// Answers in the mean service time. Classes mix short and long work; over 64
+// answers the mix matches that of the other hosts.
+constexpr std::uint32_t kMaxServiceCount = 64;
+constexpr Duration kServiceTimeExpiry = 1s;
 
 } // namespace
 
 ReservationAdmission::ReservationAdmission(const AdmissionOptions& aOptions)
   : mOptions(aOptions)
   , mSlots(aOptions.mSlots)
-  , mHandOn(aOptions.mGuards.mHandOnHysteresis)
+  , mForwardPlanner(aOptions.mGuards.mHandOnHysteresis)
 {
   std::uint64_t seed = aOptions.mSeed;
   for (const auto& it : mOptions.mClasses) {
@@ -35,12 +36,12 @@
       std::make_unique<ClassState>(it, mOptions.mGuards, ++seed));
   }
   mRunning.reserve(mSlots);
-  BoundReservations();
+  LimitReservations();
 }
 
 ReservationAdmission::~ReservationAdmission()
 {
-  for (auto& [id, it] : mWaiting) {
+  for (auto& [id, it] : mQueuedRequests) {
     ClassOf(it.mRequest).mQueue.Remove(it);
   }
 }
@@ -48,22 +49,22 @@
 void ReservationAdmission::OnRequest(const Request& aRequest, Time aNow,
                                      Actions& aOut)
 {
-  mSeenAt = aNow;
-  if (auto reason = Judge(aRequest, aNow)) {
-    GiveUp(aRequest, *reason, aNow, aOut);
+  mLastEventAt = aNow;
+  if (auto reason = EvaluateRequest(aRequest, aNow)) {
+    ForwardOrRefuse(aRequest, *reason, aNow, aOut);
     return;
   }
   ClassState& state = ClassOf(aRequest);
   if (state.mQueue.Size() == 0) {
-    state.mEmptyAt = aNow;
-    JoinShares(state);
+    state.mLastEmptyAt = aNow;
+    CatchUpShare(state);
   }
-  Waiting& waiting = mWaiting[aRequest.mId];
-  waiting.mRequest = aRequest;
-  const Duration mean = state.mTimes.Mean(aRequest.mSize);
-  waiting.mProbe = aNow + mean > aRequest.mDeadline;
-  state.mQueue.Push(waiting);
-  Fill(aNow, aOut);
+  QueuedRequest& queued = mQueuedRequests[aRequest.mId];
+  queued.mRequest = aRequest;
+  const Duration mean = state.mServiceTimes.Mean(aRequest.mSize);
+  queued.mProbe = aNow + mean > aRequest.mDeadline;
+  state.mQueue.Push(queued);
+  DispatchQueued(aNow, aOut);
 }
 
 void ReservationAdmission::OnDone(RequestId aId, RunResult aResult,
@@ -78,18 +79,18 @@
   *it = mRunning.back();
   mRunning.pop_back();
   --mClasses[slot.mClass]->mRunning;
-  NoteResult(slot, aResult, aServiceTime, aNow);
-  Fill(aNow, aOut);
+  RecordResult(slot, aResult, aServiceTime, aNow);
+  DispatchQueued(aNow, aOut);
 }
 
 bool ReservationAdmission::OnCancel(RequestId aId, Time aNow, Actions& /*aOut*/)
 {
-  mSeenAt = aNow;
-  auto it = mWaiting.find(aId);
-  if (it == mWaiting.end()) {
+  mLastEventAt = aNow;
+  auto it = mQueuedRequests.find(aId);
+  if (it == mQueuedRequests.end()) {
     return false;
   }
-  Forget(it->second);
+  RemoveQueued(it->second);
   return true;
 }
 
@@ -97,16 +98,16 @@
                                    Actions& aOut)
 {
   mSlots = aSlots;
-  BoundReservations();
-  Fill(aNow, aOut);
+  LimitReservations();
+  DispatchQueued(aNow, aOut);
 }
 
 void ReservationAdmission::OnOptions(const AdmissionOptions& aOptions,
                                      Time aNow, Actions& aOut)
 {
-  const auto waiting = TakeAllWaiting();
+  const auto queued = TakeAllQueued();
   const auto newIndex = ReplaceClasses(aOptions);
-  for (Waiting* it : waiting) {
+  for (QueuedRequest* it : queued) {
     it->mRequest.mClass = newIndex[it->mRequest.mClass];
     ClassOf(it->mRequest).mQueue.Push(*it);
   }
@@ -114,61 +115,61 @@
     it.mClass = newIndex[it.mClass];
     ++mClasses[it.mClass]->mRunning;
   }
-  BoundReservations();
-  Fill(aNow, aOut);
+  LimitReservations();
+  DispatchQueued(aNow, aOut);
 }
 
 void ReservationAdmission::OnPeers(std::span<const Candidate> aPeers, Time aNow,
                                    Actions& aOut)
 {
-  mSeenAt = aNow;
-  mHandOn.SetPeers(aPeers, aNow);
-  MoveToLighter(aNow, aOut);
+  mLastEventAt = aNow;
+  mForwardPlanner.SetPeers(aPeers, aNow);
+  ForwardToLessLoaded(aNow, aOut);
 }
 
 void ReservationAdmission::OnDrain(Time aNow, Actions& aOut)
 {
-  mSeenAt = aNow;
+  mLastEventAt = aNow;
   mDraining = true;
   for (auto& state : mClasses) {
-    for (Waiting* it : state->mQueue.InOrder()) {
+    for (QueuedRequest* it : state->mQueue.InOrder()) {
       const Request request = it->mRequest;
-      Forget(*it);
-      GiveUp(request, RefusalReason::Draining, aNow, aOut);
+      RemoveQueued(*it);
+      ForwardOrRefuse(request, RefusalReason::Draining, aNow, aOut);
     }
   }
 }
 
 void ReservationAdmission::OnTick(Time aNow, Actions& aOut)
 {
-  Fill(aNow, aOut);
+  DispatchQueued(aNow, aOut);
   Review(aNow, aOut);
 }
 
-// Never before the next millisecond: a moment that has passed, with nothing to
-// be done in it, would have the driver call OnTick in a circle.
+// Never earlier than the next millisecond: a time in the past with nothing due
+// would make the driver call OnTick in a busy loop.
 std::optional<Time> ReservationAdmission::NextWakeUp() const
 {
-  if (mWaiting.empty()) {
+  if (mQueuedRequests.empty()) {
     return std::nullopt;
   }
   Time next = mNextReview;
-  if (mPausedUntil > mSeenAt) {
+  if (mPausedUntil > mLastEventAt) {
     next = std::min(next, mPausedUntil);
   }
   for (const auto& state : mClasses) {
-    if (const Waiting* it = state->mQueue.Earliest()) {
-      const Duration mean = state->mTimes.Mean(it->mRequest.mSize);
+    if (const QueuedRequest* it = state->mQueue.EarliestDeadline()) {
+      const Duration mean = state->mServiceTimes.Mean(it->mRequest.mSize);
       next = std::min(next, it->mRequest.mDeadline - mean + Duration(1));
     }
   }
-  return std::max(next, mSeenAt + kLeastSleep);
+  return std::max(next, mLastEventAt + kMinSleep);
 }
 
 HostLoad ReservationAdmission::Load() const
 {
   HostLoad load;
-  load.mQueued = static_cast<std::uint32_t>(mWaiting.size());
+  load.mQueued = static_cast<std::uint32_t>(mQueuedRequests.size());
   load.mBusy = static_cast<std::uint32_t>(mRunning.size());
   load.mSlots = mSlots;
   load.mLatency = mLatency;
@@ -189,31 +190,32 @@
   return mRunning.size() < mSlots && aNow >= mPausedUntil;
 }
 
-double ReservationAdmission::LoadPerSlotNow() const
+double ReservationAdmission::CurrentLoadPerSlot() const
 {
   return LoadPerSlot(Load());
 }
 
-// Reservations that took every slot would shut long work out for good; one
-// slot is left to all, so that what was accepted comes to run.
-void ReservationAdmission::BoundReservations()
+// Reservations for every slot would lock out long work for good. One slot
+// always stays unreserved, so that admitted work gets to run.
+void ReservationAdmission::LimitReservations()
 {
   std::uint32_t left = mSlots > 1 ? mSlots - 1 : 0;
   for (std::size_t i = 0; i < mClasses.size(); ++i) {
-    const ClassOptions& wanted = mOptions.mClasses[i];
+    const ClassOptions& requested = mOptions.mClasses[i];
     ClassOptions& granted = mClasses[i]->mOptions;
     const bool isOn = mOptions.mGuards.mReservation;
-    granted.mReservedSlots = isOn ? std::min(wanted.mReservedSlots, left) : 0;
-    granted.mSlotLimit = isOn ? wanted.mSlotLimit : 0;
+    granted.mReservedSlots =
+      isOn ? std::min(requested.mReservedSlots, left) : 0;
+    granted.mSlotLimit = isOn ? requested.mSlotLimit : 0;
     left -= granted.mReservedSlots;
   }
 }
 
-std::vector<Waiting*> ReservationAdmission::TakeAllWaiting()
+std::vector<QueuedRequest*> ReservationAdmission::TakeAllQueued()
 {
-  std::vector<Waiting*> all;
+  std::vector<QueuedRequest*> all;
   for (auto& state : mClasses) {
-    for (Waiting* it : state->mQueue.InOrder()) {
+    for (QueuedRequest* it : state->mQueue.InOrder()) {
       state->mQueue.Remove(*it);
       all.push_back(it);
     }
@@ -221,8 +223,8 @@
   return all;
 }
 
-// Gives the new index of each class. What was learned of a class that stays is
-// kept; it would be cold otherwise at every change of a rule.
+// Returns the new index of each old class. Classes that remain keep their
+// observations; otherwise each change of a rule would reset the estimates.
 std::vector<std::uint16_t> ReservationAdmission::ReplaceClasses(
   const AdmissionOptions& aOptions)
 {
@@ -233,46 +235,47 @@
   std::vector<std::uint16_t> newIndex(old.size(), last);
   std::uint64_t seed = aOptions.mSeed;
   for (std::uint16_t i = 0; i <= last; ++i) {
-    const ClassOptions& wanted = aOptions.mClasses[i];
-    auto made = std::make_unique<ClassState>(wanted, aOptions.mGuards, ++seed);
+    const ClassOptions& requested = aOptions.mClasses[i];
+    auto replacement =
+      std::make_unique<ClassState>(requested, aOptions.mGuards, ++seed);
     for (std::size_t k = 0; k < old.size(); ++k) {
-      if (old[k]->mOptions.mName == wanted.mName) {
+      if (old[k]->mOptions.mName == requested.mName) {
         newIndex[k] = i;
-        made->Learn(*old[k]);
+        replacement->CopyObservations(*old[k]);
       }
     }
-    mClasses.push_back(std::move(made));
+    mClasses.push_back(std::move(replacement));
   }
   return newIndex;
 }
 
-void ReservationAdmission::NoteResult(const RunningSlot& aSlot,
-                                      RunResult aResult, Duration aServiceTime,
-                                      Time aNow)
+void ReservationAdmission::RecordResult(const RunningSlot& aSlot,
+                                        RunResult aResult,
+                                        Duration aServiceTime, Time aNow)
 {
   ClassState& state = *mClasses[aSlot.mClass];
-  state.mUse.Add(aNow - aSlot.mSince, aNow);
-  state.mLongUse.Add(aNow - aSlot.mSince, aNow);
+  state.mRecentUse.Add(aNow - aSlot.mStartedAt, aNow);
+  state.mLongTermUse.Add(aNow - aSlot.mStartedAt, aNow);
   switch (aResult) {
     case RunResult::Answered:
       ++mResults;
       mPausesInARow = 0;
-      state.mTimes.Observe(aSlot.mSize, aServiceTime);
-      NoteServiceTime(aServiceTime, aNow);
-      mLatency += (aNow - aSlot.mArrival - mLatency) / kLatencyShare;
-      mFailing -= mFailing * kFailingShare;
+      state.mServiceTimes.Observe(aSlot.mSize, aServiceTime);
+      RecordServiceTime(aServiceTime, aNow);
+      mLatency += (aNow - aSlot.mArrival - mLatency) / kLatencyDivisor;
+      mFailing -= mFailing * kFailureWeight;
       break;
     case RunResult::TimedOut:
-      state.mTimes.ObserveAtLeast(aSlot.mSize, aServiceTime);
-      NoteServiceTime(aServiceTime, aNow);
-      NoteFailure();
+      state.mServiceTimes.ObserveAtLeast(aSlot.mSize, aServiceTime);
+      RecordServiceTime(aServiceTime, aNow);
+      RecordFailure();
       break;
     case RunResult::Failed:
-      // A quick error says nothing of how long an answer takes.
-      NoteFailure();
+      // A quick error carries no information about the time of an answer.
+      RecordFailure();
       break;
     case RunResult::Unreachable:
-      NoteFailure();
+      RecordFailure();
       Pause(aNow);
       break;
     case RunResult::Shed:
@@ -283,37 +286,37 @@
   }
 }
 
-// After a pause the mean begins anew: a host that was slow, and was held out
-// for it, would otherwise drag its old mean along and never come back.
-void ReservationAdmission::NoteServiceTime(Duration aTime, Time aNow)
+// The mean restarts after a second without results. Otherwise the old mean of a
+// host that was ejected for slowness would persist and keep the host ejected.
+void ReservationAdmission::RecordServiceTime(Duration aTime, Time aNow)
 {
-  if (aNow - mServiceSeenAt > kForgetAfter) {
+  if (aNow - mLastServiceAt > kServiceTimeExpiry) {
     mServiceCount = 0;
     mServiceTime = {};
   }
-  mServiceSeenAt = aNow;
-  mServiceCount = std::min(mServiceCount + 1, kServiceCount);
+  mLastServiceAt = aNow;
+  mServiceCount = std::min(mServiceCount + 1, kMaxServiceCount);
   mServiceTime += (aTime - mServiceTime) / mServiceCount;
 }
 
-void ReservationAdmission::NoteFailure()
+void ReservationAdmission::RecordFailure()
 {
   ++mResults;
-  mFailing += (1 - mFailing) * kFailingShare;
+  mFailing += (1 - mFailing) * kFailureWeight;
 }
 
 void ReservationAdmission::Pause(Time aNow)
 {
-  const std::uint32_t doublings = std::min(mPausesInARow, kMostDoublings);
+  const std::uint32_t doublings = std::min(mPausesInARow, kMaxDoublings);
   mPausedUntil = aNow + kFirstPause * (1U << doublings);
   ++mPausesInARow;
 }
 
-void ReservationAdmission::Forget(Waiting& aWaiting)
+void ReservationAdmission::RemoveQueued(QueuedRequest& aQueued)
 {
-  const RequestId id = aWaiting.mRequest.mId;
-  ClassOf(aWaiting.mRequest).mQueue.Remove(aWaiting);
-  mWaiting.erase(id);
+  const RequestId id = aQueued.mRequest.mId;
+  ClassOf(aQueued.mRequest).mQueue.Remove(aQueued);
+  mQueuedRequests.erase(id);
 }
 
 } // namespace heatherplank
--- a/src/decide/ReservationAdmission.h
+++ b/src/decide/ReservationAdmission.h
@@ -6,24 +6,25 @@
 
 #include "src/decide/AdmissionPolicy.h"
 #include "src/decide/ClassState.h"
-#include "src/decide/HandOnPlanner.h"
+#include "src/decide/ForwardPlanner.h"
 #include "src/decide/WaitEstimate.h"
 
 namespace heatherplank {
 
-/** The admission in use: bounded, deadline-aware queues, one a class.
+/** The default admission policy: one bounded, deadline-aware queue per class.
  *
- * At the door a request is refused, or handed on, as soon as its answer can't
- * be expected by its deadline; what waits is looked at again every 50 ms, and
- * whatever lost its chance is refused there and then. A free slot goes to the
- * most important class that waits and may take it (SlotLending.h), within a
- * class to callers in turn (FairQueue.h). Work that may wait is let in only at
- * the rate that more important classes leave to it, is not dropped for room,
- * and goes first when its latest moment to start comes near.
+ * A request is refused or forwarded on arrival if its answer can't be expected
+ * by its deadline. Queued requests are re-evaluated every 50 ms, and those that
+ * can no longer meet their deadline are refused then. A free slot goes to the
+ * most important class that has queued requests and may take the slot
+ * (SlotLending.h); within a class, callers are served round-robin
+ * (FairQueue.h). Deferrable work (mMayWait) is admitted only at the rate that
+ * more important classes leave free, is not dropped to make room, and is
+ * dispatched first when its latest start time is near.
  *
- * A backend server that sheds or can't be reached is left alone for a moment,
- * twice as long each time in a row: sent more at once, it would turn away the
- * whole queue within milliseconds.
+ * Dispatch pauses when the backend server sheds a request or can't be reached,
+ * twice as long for each consecutive failure: without the pause, the server
+ * would reject the whole queue within milliseconds.
  */
 class ReservationAdmission final : public AdmissionPolicy
 {
@@ -49,44 +50,45 @@
 private:
   HostView View() const;
   bool HasFreeSlot(Time aNow) const;
-  double LoadPerSlotNow() const;
-  void BoundReservations();
+  double CurrentLoadPerSlot() const;
+  void LimitReservations();
   std::vector<std::uint16_t> ReplaceClasses(const AdmissionOptions& aOptions);
-  std::vector<Waiting*> TakeAllWaiting();
+  std::vector<QueuedRequest*> TakeAllQueued();
 
-  // At the door.
-  std::optional<RefusalReason> Judge(const Request& aRequest, Time aNow);
-  std::optional<RefusalReason> JudgeWait(const Request& aRequest, Time aNow);
-  Duration Tolerated(const Request& aRequest, Time aNow) const;
+  // Admission of new requests.
+  std::optional<RefusalReason> EvaluateRequest(const Request& aRequest,
+                                               Time aNow);
+  std::optional<RefusalReason> EvaluateWait(const Request& aRequest, Time aNow);
+  Duration ToleratedWait(const Request& aRequest, Time aNow) const;
   bool IsBusyCaller(const ClassState& aClass, const Request& aRequest) const;
-  bool TakeProbe(ClassState& aClass, Time aNow);
+  bool TryTakeProbe(ClassState& aClass, Time aNow);
 
-  // From the queues to the slots.
-  void Fill(Time aNow, Actions& aOut);
-  Waiting* TakeNext(Time aNow);
+  // Dispatch from the queues to the slots.
+  void DispatchQueued(Time aNow, Actions& aOut);
+  QueuedRequest* TakeNext(Time aNow);
   ClassState* NextClass();
-  void JoinShares(ClassState& aClass) const;
-  bool GoesFirst(const ClassState& aFirst, const ClassState& aSecond) const;
-  Waiting* TakeUrgent(Time aNow);
-  void Start(const Waiting& aWaiting, Time aNow, Actions& aOut);
+  void CatchUpShare(ClassState& aClass) const;
+  bool HasPrecedence(const ClassState& aFirst, const ClassState& aSecond) const;
+  QueuedRequest* TakeUrgent(Time aNow);
+  void Start(const QueuedRequest& aQueued, Time aNow, Actions& aOut);
 
-  // Out of the queues by other ways.
-  void RefuseHopeless(Time aNow, Actions& aOut);
+  // Refusal, forwarding and removal of queued requests.
+  void RefuseDeadlineUnreachable(Time aNow, Actions& aOut);
   void Review(Time aNow, Actions& aOut);
   void ReviewClass(std::size_t aClass, Time aNow, Actions& aOut);
-  void MoveToLighter(Time aNow, Actions& aOut);
-  void GiveUp(const Request& aRequest, RefusalReason aReason, Time aNow,
-              Actions& aOut);
+  void ForwardToLessLoaded(Time aNow, Actions& aOut);
+  void ForwardOrRefuse(const Request& aRequest, RefusalReason aReason,
+                       Time aNow, Actions& aOut);
   void Refuse(const Request& aRequest, RefusalReason aReason, Time aNow,
               Actions& aOut);
-  void HandOn(RequestId aId, HostId aTarget, RetryReason aReason,
-              Actions& aOut);
-  void Forget(Waiting& aWaiting);
+  void Forward(RequestId aId, HostId aTarget, RetryReason aReason,
+               Actions& aOut);
+  void RemoveQueued(QueuedRequest& aQueued);
 
-  void NoteResult(const RunningSlot& aSlot, RunResult aResult,
-                  Duration aServiceTime, Time aNow);
-  void NoteServiceTime(Duration aTime, Time aNow);
-  void NoteFailure();
+  void RecordResult(const RunningSlot& aSlot, RunResult aResult,
+                    Duration aServiceTime, Time aNow);
+  void RecordServiceTime(Duration aTime, Time aNow);
+  void RecordFailure();
   void Pause(Time aNow);
 
   ClassState& ClassOf(const Request& aRequest)
@@ -98,18 +100,18 @@
   std::uint32_t mSlots;
   bool mDraining = false;
   std::vector<std::unique_ptr<ClassState>> mClasses;
-  std::unordered_map<RequestId, Waiting> mWaiting;
+  std::unordered_map<RequestId, QueuedRequest> mQueuedRequests;
   std::vector<RunningSlot> mRunning;
-  HandOnPlanner mHandOn;
+  ForwardPlanner mForwardPlanner;
   Time mPausedUntil;
   std::uint32_t mPausesInARow = 0;
   Time mNextReview;
-  /** When the last event came. */
-  Time mSeenAt;
+  /** Time of the last event. */
+  Time mLastEventAt;
   Duration mLatency{};
   Duration mServiceTime{};
   std::uint32_t mServiceCount = 0;
-  Time mServiceSeenAt;
+  Time mLastServiceAt;
   double mFailing = 0;
   std::uint64_t mResults = 0;
 };
--- a/src/decide/ReservationRefusal.cpp
+++ b/src/decide/ReservationRefusal.cpp
@@ -1,4 +1,5 @@
-// The ways out of the queues other than a slot: review, hand on, refuse.
+// How requests leave the queues other than by dispatch: review, forwarding,
+// refusal.
 #include "src/decide/ReservationAdmission.h"
 
 #include <algorithm>
@@ -8,9 +9,10 @@
 
 namespace {
 
-// How often what waits is looked at again. A caller can't tell an answer after
-// 50 ms from one at once, and the look takes 30 microseconds at 768 requests.
-constexpr Duration kReviewEvery = std::chrono::milliseconds(50);
+// Interval at which queued requests are re-evaluated. A caller can't
+// distinguish an answer after 50 ms from an immediate one, and a review takes
+// 30 microseconds at 768 requests.
+constexpr Duration kReviewInterval = std::chrono::milliseconds(50);
 
 } // namespace
 
@@ -19,8 +21,8 @@
   if (aNow < mNextReview) {
     return;
   }
-  mNextReview = aNow + kReviewEvery;
-  MoveToLighter(aNow, aOut);
+  mNextReview = aNow + kReviewInterval;
+  ForwardToLessLoaded(aNow, aOut);
   if (!mOptions.mGuards.mEarlyRefusal) {
     return;
   }
@@ -29,8 +31,8 @@
   }
 }
 
-// Refuses what the queue before it will make late. Work that may wait keeps
-// its place until its latest moment to start.
+// Refuses requests that the queue ahead of them will make late. Deferrable work
+// keeps its place until its latest start time.
 void ReservationAdmission::ReviewClass(std::size_t aClass, Time aNow,
                                        Actions& aOut)
 {
@@ -38,24 +40,25 @@
   if (state.mOptions.mMayWait) {
     return;
   }
-  std::uint32_t kept = 0;
-  for (Waiting* it : state.mQueue.InOrder()) {
+  std::uint32_t retained = 0;
+  for (QueuedRequest* it : state.mQueue.InOrder()) {
     const Request request = it->mRequest;
-    const Duration wait = ExpectedWait(View(), aClass, kept, aNow);
-    const Duration run = state.mTimes.Mean(request.mSize);
+    const Duration wait = ExpectedWait(View(), aClass, retained, aNow);
+    const Duration run = state.mServiceTimes.Mean(request.mSize);
     if (it->mProbe || aNow + wait + run <= request.mDeadline) {
-      ++kept;
+      ++retained;
       continue;
     }
-    Forget(*it);
-    GiveUp(request, RefusalReason::DeadlineUnreachable, aNow, aOut);
+    RemoveQueued(*it);
+    ForwardOrRefuse(request, RefusalReason::DeadlineUnreachable, aNow, aOut);
   }
 }
 
-// The least important goes first, since it waits the longest here.
-void ReservationAdmission::MoveToLighter(Time aNow, Actions& aOut)
+// The least important class is forwarded first, since it waits longest here.
+void ReservationAdmission::ForwardToLessLoaded(Time aNow, Actions& aOut)
 {
-  std::uint32_t budget = mHandOn.Budget(LoadPerSlotNow(), mSlots, aNow);
+  std::uint32_t budget =
+    mForwardPlanner.Budget(CurrentLoadPerSlot(), mSlots, aNow);
   std::vector<ClassState*> order;
   for (auto& it : mClasses) {
     order.push_back(it.get());
@@ -65,39 +68,41 @@
   });
   for (ClassState* state : order) {
     for (; budget > 0; --budget) {
-      Waiting* moved = state->mQueue.LastOfLongest();
-      if (moved == nullptr) {
+      QueuedRequest* forwarded = state->mQueue.LastOfLongest();
+      if (forwarded == nullptr) {
         break;
       }
-      const Request& request = moved->mRequest;
-      const Duration run = state->mTimes.Mean(request.mSize);
-      auto to = mHandOn.Lighter(request, LoadPerSlotNow(), run, aNow);
+      const Request& request = forwarded->mRequest;
+      const Duration run = state->mServiceTimes.Mean(request.mSize);
+      auto to = mForwardPlanner.FindLessLoaded(request, CurrentLoadPerSlot(),
+                                               run, aNow);
       if (!to) {
         break;
       }
       const RequestId id = request.mId;
-      Forget(*moved);
-      HandOn(id, *to, RetryReason::LighterHost, aOut);
+      RemoveQueued(*forwarded);
+      Forward(id, *to, RetryReason::LessLoadedHost, aOut);
     }
   }
 }
 
-void ReservationAdmission::GiveUp(const Request& aRequest,
-                                  RefusalReason aReason, Time aNow,
-                                  Actions& aOut)
+void ReservationAdmission::ForwardOrRefuse(const Request& aRequest,
+                                           RefusalReason aReason, Time aNow,
+                                           Actions& aOut)
 {
-  const Duration run = ClassOf(aRequest).mTimes.Mean(aRequest.mSize);
+  const Duration run = ClassOf(aRequest).mServiceTimes.Mean(aRequest.mSize);
   if (mDraining) {
-    if (auto to = mHandOn.Any(aRequest, run, aNow)) {
-      HandOn(aRequest.mId, *to, RetryReason::Draining, aOut);
+    if (auto to = mForwardPlanner.FindAny(aRequest, run, aNow)) {
+      Forward(aRequest.mId, *to, RetryReason::Draining, aOut);
       return;
     }
     Refuse(aRequest, RefusalReason::Draining, aNow, aOut);
     return;
   }
-  auto to = mHandOn.Lighter(aRequest, LoadPerSlotNow(), run, aNow);
+  auto to =
+    mForwardPlanner.FindLessLoaded(aRequest, CurrentLoadPerSlot(), run, aNow);
   if (to && aNow < aRequest.mDeadline) {
-    HandOn(aRequest.mId, *to, RetryReason::LighterHost, aOut);
+    Forward(aRequest.mId, *to, RetryReason::LessLoadedHost, aOut);
     return;
   }
   Refuse(aRequest, aReason, aNow, aOut);
@@ -110,12 +115,12 @@
   ClassState& state = ClassOf(aRequest);
   const HostView view = View();
   const std::size_t index = aRequest.mClass;
-  const std::uint32_t ahead = state.Ahead(aRequest.mCaller);
+  const std::uint32_t ahead = state.CountAhead(aRequest.mCaller);
   const Duration wait = ExpectedWait(view, index, ahead, aNow);
-  // What a request with a whole deadline before it would put up with.
-  const Duration bearable =
-    std::max(Duration{}, state.mOptions.mDeadline - state.mTimes.High());
-  const Duration every = ExpectedInterval(view, index, aNow);
+  // The wait that a request with its full deadline left can accept.
+  const Duration acceptable = std::max(
+    Duration{}, state.mOptions.mDeadline - state.mServiceTimes.UpperEstimate());
+  const Duration interval = ExpectedInterval(view, index, aNow);
   Action action;
   action.mKind =
     aNow >= aRequest.mDeadline ? ActionKind::Expire : ActionKind::Refuse;
@@ -123,14 +128,15 @@
   action.mReason = action.mKind == ActionKind::Expire
                      ? RefusalReason::DeadlinePassed
                      : aReason;
-  action.mRetryAfter = state.mReturns.Next(aNow, wait - bearable, every);
+  action.mRetryAfter =
+    state.mReturnPlanner.Next(aNow, wait - acceptable, interval);
   aOut.push_back(action);
 }
 
-void ReservationAdmission::HandOn(RequestId aId, HostId aTarget,
-                                  RetryReason aReason, Actions& aOut)
+void ReservationAdmission::Forward(RequestId aId, HostId aTarget,
+                                   RetryReason aReason, Actions& aOut)
 {
-  mHandOn.Note(aTarget);
+  mForwardPlanner.RecordForward(aTarget);
   Action action;
   action.mKind = ActionKind::HandOn;
   action.mId = aId;
--- a/src/decide/Retry.cpp
+++ b/src/decide/Retry.cpp
@@ -13,27 +13,29 @@
   RetryAdvice mNeverRepeat;
 };
 
-constexpr RetryAdvice Elsewhere(RetryReason aReason)
+constexpr RetryAdvice RetryElsewhere(RetryReason aReason)
 {
-  return { RetryPlace::OtherHost, aReason, Truth::NotRun };
+  return { RetryPlace::OtherHost, aReason, ExecutionStatus::NotRun };
 }
 
-constexpr RetryAdvice Tell(Truth aTruth)
+constexpr RetryAdvice NoRetry(ExecutionStatus aStatus)
 {
-  return { RetryPlace::Nowhere, RetryReason::Lost, aTruth };
+  return { RetryPlace::Nowhere, RetryReason::Lost, aStatus };
 }
 
 // In the order of AttemptEnd.
 constexpr std::array<Row, kAttemptEnds> kTable{ {
-  { Elsewhere(RetryReason::ConnectFailed),
-    Elsewhere(RetryReason::ConnectFailed) },
-  { Elsewhere(RetryReason::BackendShed), Elsewhere(RetryReason::BackendShed) },
-  { Elsewhere(RetryReason::Draining), Elsewhere(RetryReason::Draining) },
-  { Tell(Truth::NotRun), Tell(Truth::NotRun) },
-  { Tell(Truth::NotRun), Tell(Truth::NotRun) },
-  { { RetryPlace::OtherHost, RetryReason::Lost, Truth::Unknown },
-    Tell(Truth::Unknown) },
-  { Tell(Truth::Unknown), Tell(Truth::Unknown) },
+  { RetryElsewhere(RetryReason::ConnectFailed),
+    RetryElsewhere(RetryReason::ConnectFailed) },
+  { RetryElsewhere(RetryReason::BackendShed),
+    RetryElsewhere(RetryReason::BackendShed) },
+  { RetryElsewhere(RetryReason::Draining),
+    RetryElsewhere(RetryReason::Draining) },
+  { NoRetry(ExecutionStatus::NotRun), NoRetry(ExecutionStatus::NotRun) },
+  { NoRetry(ExecutionStatus::NotRun), NoRetry(ExecutionStatus::NotRun) },
+  { { RetryPlace::OtherHost, RetryReason::Lost, ExecutionStatus::Unknown },
+    NoRetry(ExecutionStatus::Unknown) },
+  { NoRetry(ExecutionStatus::Unknown), NoRetry(ExecutionStatus::Unknown) },
 } };
 
 } // namespace
@@ -46,12 +48,12 @@
 
 void RetryBudget::OnFirstAttempt()
 {
-  mSaved = std::min(kMost, mSaved + kShare);
+  mSaved = std::min(kMaxSaved, mSaved + kRetriesPerRequest);
 }
 
 bool RetryBudget::TryRetry()
 {
-  if (!mOn) {
+  if (!mEnabled) {
     return true;
   }
   if (mSaved < 1.0) {
--- a/src/decide/Retry.h
+++ b/src/decide/Retry.h
@@ -6,20 +6,20 @@
 
 namespace heatherplank {
 
-/** How an attempt to have a request run ended without its answer. */
+/** How an attempt to run a request ended without an answer. */
 enum class AttemptEnd : std::uint8_t
 {
   /** The backend server could not be reached; nothing was sent. */
   ConnectFailed,
-  /** The backend server shed it and says that it was not run. */
+  /** The backend server shed the request and reported that it was not run. */
   Shed,
   /** The host drains; the request was not dispatched. */
   Draining,
-  /** The admission refused it: queue, deadline or share. */
+  /** The admission policy refused it: queue, deadline or share. */
   RefusedByAdmission,
-  /** It was not recorded, since the platform can't be reached. */
+  /** It was not recorded, since the platform is unreachable. */
   PlatformDown,
-  /** It was sent, and the connection or the host was lost. */
+  /** It was sent, and then the connection or the host was lost. */
   LostAfterSend,
   /** It was sent, and its deadline passed. */
   TimedOut,
@@ -27,71 +27,74 @@
 
 constexpr std::size_t kAttemptEnds = 7;
 
-/** Where a request may be tried again. */
+/** Where a request may be retried. */
 enum class RetryPlace : std::uint8_t
 {
   Nowhere,
   OtherHost,
 };
 
-/** What the caller is told if the request is not tried again. */
-enum class Truth : std::uint8_t
+/** What the caller is told about the execution if the request is not retried.
+ */
+enum class ExecutionStatus : std::uint8_t
 {
   NotRun,
   Unknown,
 };
 
-/** What to do after an attempt. */
+/** What to do after a failed attempt. */
 struct RetryAdvice
 {
   RetryPlace mPlace = RetryPlace::Nowhere;
-  /** The counter, if it is tried again. */
+  /** The reason to count if the request is retried. */
   RetryReason mReason = RetryReason::Lost;
-  Truth mTruth = Truth::NotRun;
+  ExecutionStatus mStatus = ExecutionStatus::NotRun;
 };
 
-/** The table of which end may be retried where; pure and thread safe.
+/** Where a request may be retried after an attempt. No I/O or clock access;
+ * thread safe.
  *
- * Never at the same host: what it refused a moment ago it would refuse again.
- * Not after a refusal by admission either, since that has already looked for a
- * lighter host, and its callers were told when to return. A request that may
- * not be repeated is tried elsewhere only if it certainly did not run.
+ * A request is never retried on the same host, which would refuse it again. It
+ * is not retried after a refusal by admission either: the admission has already
+ * looked for a less loaded host, and the caller has been given a retry time. A
+ * request that must not be repeated is retried on another host only if it
+ * certainly did not run.
  */
 RetryAdvice AdviseRetry(AttemptEnd aEnd, bool aNeverRepeat);
 
-/** Bounds retries to a share of the work.
+/** Bounds retries to a share of the load.
  *
- * Load it answers: a retry storm. When hosts fail because they are overloaded,
- * each retry adds to the load that made it needed; with two retries a request,
- * a fleet at 60 % that stumbles gets 180 % and does not come back. A first
- * attempt adds a tenth of a retry to the budget, so that retries never add more
- * than a tenth to the load; ten may be saved up, so that the loss of one host's
- * two slots and queue on a quiet day is made good.
+ * Guards against: a retry storm. When hosts fail because of overload, each
+ * retry adds to the overload; with two retries per request, a fleet at 60 %
+ * load that fails briefly gets 180 % and doesn't recover. Each first attempt
+ * adds a tenth of a retry to the budget, so that retries add at most a tenth to
+ * the load. Up to ten retries accumulate, enough to retry the requests in the
+ * two slots and the queue of a lost host under light load.
  *
  * Not thread safe.
  */
 class RetryBudget
 {
 public:
-  /** With aOn off, every retry is allowed. */
-  explicit RetryBudget(bool aOn = true)
-    : mOn(aOn)
+  /** With aEnabled false, every retry is allowed. */
+  explicit RetryBudget(bool aEnabled = true)
+    : mEnabled(aEnabled)
   {
   }
 
-  /** A request was tried for the first time. */
+  /** Records the first attempt of a request. */
   void OnFirstAttempt();
 
-  /** Takes one retry from the budget; false if there is none, and then the
-   * request is refused with RefusalReason::RetryBudget. */
+  /** Takes one retry from the budget. False if the budget is empty; the request
+   * is then refused with RefusalReason::RetryBudget. */
   bool TryRetry();
 
 private:
-  static constexpr double kShare = 0.1;
-  static constexpr double kMost = 10.0;
+  static constexpr double kRetriesPerRequest = 0.1;
+  static constexpr double kMaxSaved = 10.0;
 
-  bool mOn;
-  double mSaved = kMost;
+  bool mEnabled;
+  double mSaved = kMaxSaved;
 };
 
 } // namespace heatherplank
--- a/src/decide/ReturnPlanner.cpp
+++ b/src/decide/ReturnPlanner.cpp
@@ -7,10 +7,11 @@
 
 namespace {
 
-constexpr Duration kLongest = std::chrono::seconds(30);
-// Below this a caller would be back before its refusal made a difference.
-constexpr Duration kShortest = std::chrono::milliseconds(5);
-constexpr int kJitterShare = 4;
+constexpr Duration kMaxWait = std::chrono::seconds(30);
+// A caller that returned sooner would be back before its refusal reduced the
+// load.
+constexpr Duration kMinWait = std::chrono::milliseconds(5);
+constexpr int kJitterDivisor = 4;
 
 } // namespace
 
@@ -20,18 +21,18 @@
 {
 }
 
-Duration ReturnPlanner::Next(Time aNow, Duration aRoomIn, Duration aEvery)
+Duration ReturnPlanner::Next(Time aNow, Duration aRoomIn, Duration aInterval)
 {
-  const Duration roomIn = std::clamp(aRoomIn, kShortest, kLongest);
+  const Duration roomIn = std::clamp(aRoomIn, kMinWait, kMaxWait);
   if (!mSpread) {
     return roomIn;
   }
   const Time room = aNow + roomIn;
-  mNext = std::max(mNext + aEvery, room);
-  mNext = std::min(mNext, aNow + kLongest);
-  const Duration wait = mNext - aNow;
+  mNextPosition = std::max(mNextPosition + aInterval, room);
+  mNextPosition = std::min(mNextPosition, aNow + kMaxWait);
+  const Duration wait = mNextPosition - aNow;
   std::uniform_int_distribution<Duration::rep> jitter(0, wait.count() /
-                                                           kJitterShare);
+                                                           kJitterDivisor);
   return wait + Duration(jitter(mRng));
 }
 
--- a/src/decide/ReturnPlanner.h
+++ b/src/decide/ReturnPlanner.h
@@ -7,35 +7,38 @@
 
 namespace heatherplank {
 
-/** Tells refused callers when to come back.
+/** Computes the retry times of refused callers.
  *
- * Load it answers: a refused crowd. Told one and the same moment, all come back
- * in it and all but a few are refused again (a retry storm on a beat); told
- * "soon" while the queue is long, they come in vain. So each refused caller
- * gets the next free place behind those refused before it: places are as far
- * apart as the host takes to serve one, beginning when the queue has room. A
- * quarter of the wait is added at random (seeded), since hosts that plan alike
- * would send their callers back alike.
+ * Guards against: a burst of refused callers. Given the same retry time, all
+ * return at once and all but a few are refused again (a synchronized retry
+ * storm); given a short time while the queue is long, they return in vain. So
+ * each refused caller is given the next free position behind the callers
+ * refused before it: positions start when the queue has room and are one
+ * service interval apart. Up to a quarter of the wait is added as seeded random
+ * jitter, since hosts with the same plan would otherwise synchronize their
+ * callers.
  *
- * The places are estimates, not bookings: newcomers may take them. A wait is
- * 30 s at most, since what the load is like by then nobody knows.
+ * Positions are estimates, not reservations: new requests may take them. The
+ * wait before jitter is at most 30 s, since the load can't be predicted further
+ * ahead.
  *
  * Not thread safe.
  */
 class ReturnPlanner
 {
 public:
-  /** With aSpread off, every caller is told the moment of the first room. */
+  /** With aSpread false, every caller is given the time at which the queue
+   * first has room. */
   ReturnPlanner(std::uint64_t aSeed, bool aSpread);
 
   /** The wait for a caller refused at aNow, if there is room after aRoomIn and
-   * one request is served every aEvery. Not negative. */
-  Duration Next(Time aNow, Duration aRoomIn, Duration aEvery);
+   * one request is served every aInterval. Not negative. */
+  Duration Next(Time aNow, Duration aRoomIn, Duration aInterval);
 
 private:
   std::mt19937_64 mRng;
   bool mSpread;
-  Time mNext;
+  Time mNextPosition;
 };
 
 } // namespace heatherplank
--- a/src/decide/ServiceTimes.cpp
+++ b/src/decide/ServiceTimes.cpp
@@ -8,16 +8,16 @@
 
 namespace {
 
-// Weight of a new observation, 1/8 as in TCP's round trip estimate: twenty
-// answers make a change of speed known.
-constexpr int kMeanShift = 8;
-constexpr int kDeviationShift = 4;
-// Observations of a size before its own mean is trusted.
-constexpr std::uint32_t kEnough = 8;
-constexpr int kAssumedShare = 8;
-constexpr int kHighDeviations = 2;
-
-// Sizes by powers of eight: 0, below 8, 64, ... bytes.
+// Inverse weight of a new observation, 1/8 as in TCP's round-trip estimate: the
+// mean follows a change of speed within twenty answers.
+constexpr int kMeanDivisor = 8;
+constexpr int kDeviationDivisor = 4;
+// Observations of a size before its separate estimate is used.
+constexpr std::uint32_t kMinObservations = 8;
+constexpr int kAssumedDivisor = 8;
+constexpr int kUpperDeviations = 2;
+
+// Buckets of sizes by powers of eight: 0, below 8, below 64, ... bytes.
 std::size_t BucketOf(std::uint32_t aSize)
 {
   const auto bits = static_cast<std::size_t>(std::bit_width(aSize));
@@ -33,13 +33,13 @@
     mDeviation = aTime / 2;
     return;
   }
-  const Duration off = aTime - mMean;
-  mMean += off / kMeanShift;
-  mDeviation += (std::chrono::abs(off) - mDeviation) / kDeviationShift;
+  const Duration error = aTime - mMean;
+  mMean += error / kMeanDivisor;
+  mDeviation += (std::chrono::abs(error) - mDeviation) / kDeviationDivisor;
 }
 
 ServiceTimes::ServiceTimes(Duration aDeadline)
-  : mAssumed(aDeadline / kAssumedShare)
+  : mAssumed(aDeadline / kAssumedDivisor)
 {
 }
 
@@ -63,31 +63,31 @@
 
 Duration ServiceTimes::Mean(std::uint32_t aSize) const
 {
-  return IsCold() ? mAssumed : For(aSize).Mean();
+  return IsCold() ? mAssumed : EstimateFor(aSize).Mean();
 }
 
-Duration ServiceTimes::High(std::uint32_t aSize) const
+Duration ServiceTimes::UpperEstimate(std::uint32_t aSize) const
 {
-  return HighOf(For(aSize));
+  return UpperEstimateOf(EstimateFor(aSize));
 }
 
-Duration ServiceTimes::High() const
+Duration ServiceTimes::UpperEstimate() const
 {
-  return HighOf(mAll);
+  return UpperEstimateOf(mAll);
 }
 
-const TimeEstimate& ServiceTimes::For(std::uint32_t aSize) const
+const TimeEstimate& ServiceTimes::EstimateFor(std::uint32_t aSize) const
 {
-  const TimeEstimate& own = mBySize.at(BucketOf(aSize));
-  return own.Count() >= kEnough ? own : mAll;
+  const TimeEstimate& bySize = mBySize.at(BucketOf(aSize));
+  return bySize.Count() >= kMinObservations ? bySize : mAll;
 }
 
-Duration ServiceTimes::HighOf(const TimeEstimate& aEstimate) const
+Duration ServiceTimes::UpperEstimateOf(const TimeEstimate& aEstimate) const
 {
   if (IsCold()) {
     return mAssumed;
   }
-  return aEstimate.Mean() + kHighDeviations * aEstimate.Deviation();
+  return aEstimate.Mean() + kUpperDeviations * aEstimate.Deviation();
 }
 
 } // namespace heatherplank
--- a/src/decide/ServiceTimes.h
+++ b/src/decide/ServiceTimes.h
@@ -7,11 +7,11 @@
 
 namespace heatherplank {
 
-/** A moving mean of observed times and of their deviation from it. */
+/** A moving mean of observed times and their mean deviation. */
 class TimeEstimate
 {
 public:
-  /** Takes an observation; the first one is the mean. */
+  /** Adds an observation; the first one becomes the mean. */
   void Observe(Duration aTime);
 
   Duration Mean() const { return mMean; }
@@ -24,49 +24,48 @@
   std::uint32_t mCount = 0;
 };
 
-/** What a class's requests take at this host, from the answers seen here.
+/** The service times of a class on this host, from the answers observed here.
  *
- * Load it answers: work whose length nobody states, on hosts whose speed
- * changes. Without it a queue's length in requests says nothing of the wait.
- * Requests of different size are estimated apart once each size was seen often
- * enough, since in a class with long work among short the common mean is wrong
- * for both.
+ * Guards against: work of unknown length on hosts of changing speed, where the
+ * number of queued requests doesn't determine the wait. Requests of different
+ * size are estimated separately once each size has enough observations, since a
+ * common mean of long and short work is wrong for both.
  *
- * Before the first observation an eighth of the deadline is assumed: a slot
- * then takes a queue of seven, which is little enough that a host which turns
- * out to be slow has not promised much, and enough to learn from.
+ * Before the first observation, an eighth of the deadline is assumed. A slot
+ * then admits a queue of seven: few enough to limit the commitments of a host
+ * that proves to be slow, and enough to observe its speed.
  *
  * Not thread safe.
  */
 class ServiceTimes
 {
 public:
-  /** aDeadline scales the first assumption. Precondition: it is above 0. */
+  /** aDeadline scales the initial assumption. Precondition: it is above 0. */
   explicit ServiceTimes(Duration aDeadline);
 
-  /** An answer came after aTime. */
+  /** Records an answer after aTime. */
   void Observe(std::uint32_t aSize, Duration aTime);
 
-  /** No answer came within aTime: the true time is at least that. A shorter one
-   * says nothing and is ignored. */
+  /** Records that no answer came within aTime, a lower bound of the service
+   * time. A time below the mean carries no information and is ignored. */
   void ObserveAtLeast(std::uint32_t aSize, Duration aTime);
 
   /** The mean over all sizes. */
   Duration Mean() const;
   /** The mean for a size. */
   Duration Mean(std::uint32_t aSize) const;
-  /** Two deviations above the mean for a size: nineteen of twenty answers come
-   * within it. */
-  Duration High(std::uint32_t aSize) const;
-  /** The same over all sizes. */
-  Duration High() const;
+  /** Mean plus two deviations for a size: 19 of 20 answers take at most this
+   * time. */
+  Duration UpperEstimate(std::uint32_t aSize) const;
+  /** Mean plus two deviations over all sizes. */
+  Duration UpperEstimate() const;
 
-  /** True until something was observed. */
+  /** True until the first observation. */
   bool IsCold() const { return mAll.Count() == 0; }
 
 private:
-  const TimeEstimate& For(std::uint32_t aSize) const;
-  Duration HighOf(const TimeEstimate& aEstimate) const;
+  const TimeEstimate& EstimateFor(std::uint32_t aSize) const;
+  Duration UpperEstimateOf(const TimeEstimate& aEstimate) const;
 
   Duration mAssumed;
   TimeEstimate mAll;
--- a/src/decide/ShiftLimiter.cpp
+++ b/src/decide/ShiftLimiter.cpp
@@ -13,16 +13,16 @@
 
 double ShiftLimiter::Move(HostId aHost, double aTarget, Time aNow)
 {
-  auto [it, fresh] = mHeld.try_emplace(aHost, Held{ 1.0, aNow });
-  Held& held = it->second;
-  if (fresh) {
-    return held.mShare;
+  auto [it, isNew] = mShares.try_emplace(aHost, HostShare{ 1.0, aNow });
+  HostShare& entry = it->second;
+  if (isNew) {
+    return entry.mShare;
   }
-  const std::chrono::duration<double> elapsed = aNow - held.mAt;
+  const std::chrono::duration<double> elapsed = aNow - entry.mUpdatedAt;
   const double step = std::exp(mLogPerSecond * std::max(0.0, elapsed.count()));
-  held.mShare = std::clamp(aTarget, held.mShare / step, held.mShare * step);
-  held.mAt = aNow;
-  return held.mShare;
+  entry.mShare = std::clamp(aTarget, entry.mShare / step, entry.mShare * step);
+  entry.mUpdatedAt = aNow;
+  return entry.mShare;
 }
 
 } // namespace heatherplank
--- a/src/decide/ShiftLimiter.h
+++ b/src/decide/ShiftLimiter.h
@@ -7,39 +7,38 @@
 
 namespace heatherplank {
 
-/** Bounds how fast the share of a host may move.
+/** Bounds the rate of change of a host's share.
  *
- * Load it answers: a host that looks better than it is, because the figures of
- * it are old. Without it every chooser sends its work there until the next
- * figures, which then drive all of them to another host: the load swings and
- * the swing feeds itself. A share that can change by a bounded factor in the
- * time that figures take to come round can't overshoot by more than that
- * factor.
+ * Guards against: load oscillation caused by stale load reports. Every balancer
+ * sends its work to the host that looks best until the next reports, which then
+ * drive all of them to another host, and the oscillation sustains itself. A
+ * share that changes by a bounded factor during the delay of the reports can't
+ * overshoot by more than that factor.
  *
  * Not thread safe.
  */
 class ShiftLimiter
 {
 public:
-  /** A share may double or halve in a second by default: within figures of
-   * 200 ms age that is 15 %, less than the imbalance that two slots a host
-   * cause by themselves. Precondition: aFactorPerSecond is at least 1; 1e9 is
-   * as good as no limit. */
+  /** By default, a share may at most double or halve in a second: 15 % during
+   * the 200 ms age of a load report, less than the imbalance that two slots
+   * per host cause by themselves. Precondition: aFactorPerSecond is at least
+   * 1; 1e9 is effectively no limit. */
   explicit ShiftLimiter(double aFactorPerSecond = 2.0);
 
-  /** Moves the host's share towards aTarget and gives what it is now. A host
-   * not seen before starts at 1. Precondition: aTarget is above 0. */
+  /** Moves the host's share towards aTarget and returns the new share. A new
+   * host starts at 1. Precondition: aTarget is above 0. */
   double Move(HostId aHost, double aTarget, Time aNow);
 
 private:
-  struct Held
+  struct HostShare
   {
     double mShare = 1.0;
-    Time mAt;
+    Time mUpdatedAt;
   };
 
   double mLogPerSecond;
-  std::map<HostId, Held> mHeld;
+  std::map<HostId, HostShare> mShares;
 };
 
 } // namespace heatherplank
--- a/src/decide/SlotLending.cpp
+++ b/src/decide/SlotLending.cpp
@@ -8,12 +8,13 @@
 
 bool IsShortEnough(const ClassState& aBorrower, const ClassState& aOwner)
 {
-  const Duration spare = aOwner.mOptions.mDeadline - aOwner.mTimes.Mean();
-  return aBorrower.mTimes.High() <= spare / 2;
+  const Duration slack =
+    aOwner.mOptions.mDeadline - aOwner.mServiceTimes.Mean();
+  return aBorrower.mServiceTimes.UpperEstimate() <= slack / 2;
 }
 
-// True if a slot of the owner is out of this borrower's reach.
-bool IsKeptFrom(const ClassState& aBorrower, const ClassState& aOwner)
+// True if the owner's reserved slots can't be lent to this borrower.
+bool IsReservedFrom(const ClassState& aBorrower, const ClassState& aOwner)
 {
   if (&aBorrower == &aOwner || aOwner.mOptions.mReservedSlots == 0) {
     return false;
@@ -26,34 +27,35 @@
 bool MayTakeSlot(ClassStates aClasses, std::size_t aClass,
                  std::uint32_t aFreeSlots)
 {
-  const ClassState& taker = *aClasses[aClass];
-  const std::uint32_t limit = taker.mOptions.mSlotLimit;
-  if (limit != 0 && taker.mRunning >= limit) {
+  const ClassState& borrower = *aClasses[aClass];
+  const std::uint32_t limit = borrower.mOptions.mSlotLimit;
+  if (limit != 0 && borrower.mRunning >= limit) {
     return false;
   }
-  std::uint32_t kept = 0;
+  std::uint32_t unavailable = 0;
   for (const auto& it : aClasses) {
     const std::uint32_t reserved = it->mOptions.mReservedSlots;
-    if (reserved > it->mRunning && IsKeptFrom(taker, *it)) {
-      kept += reserved - it->mRunning;
+    if (reserved > it->mRunning && IsReservedFrom(borrower, *it)) {
+      unavailable += reserved - it->mRunning;
     }
   }
-  return aFreeSlots > kept;
+  return aFreeSlots > unavailable;
 }
 
-std::uint32_t SlotsFor(ClassStates aClasses, std::size_t aClass,
-                       std::uint32_t aSlots)
+std::uint32_t MaxSlotsFor(ClassStates aClasses, std::size_t aClass,
+                          std::uint32_t aSlots)
 {
-  const ClassState& taker = *aClasses[aClass];
-  std::uint32_t kept = 0;
+  const ClassState& borrower = *aClasses[aClass];
+  std::uint32_t unavailable = 0;
   for (const auto& it : aClasses) {
-    if (IsKeptFrom(taker, *it)) {
-      kept += it->mOptions.mReservedSlots;
+    if (IsReservedFrom(borrower, *it)) {
+      unavailable += it->mOptions.mReservedSlots;
     }
   }
-  const std::uint32_t rest = aSlots > kept ? aSlots - kept : 0;
-  const std::uint32_t limit = taker.mOptions.mSlotLimit;
-  return limit == 0 ? rest : std::min(rest, limit);
+  const std::uint32_t remaining =
+    aSlots > unavailable ? aSlots - unavailable : 0;
+  const std::uint32_t limit = borrower.mOptions.mSlotLimit;
+  return limit == 0 ? remaining : std::min(remaining, limit);
 }
 
 } // namespace heatherplank
--- a/src/decide/SlowStart.cpp
+++ b/src/decide/SlowStart.cpp
@@ -10,13 +10,14 @@
 
 namespace {
 
-constexpr double kFirstWeight = 0.1;
-constexpr std::chrono::duration<double> kWarmAfter{ 10.0 };
-constexpr double kWarmAnswers = 50;
+constexpr double kInitialWeight = 0.1;
+constexpr std::chrono::duration<double> kWarmUpTime{ 10.0 };
+constexpr double kWarmUpAnswers = 50;
 
-double Ramp(double aPart)
+double Ramp(double aProgress)
 {
-  return kFirstWeight + (1 - kFirstWeight) * std::clamp(aPart, 0.0, 1.0);
+  return kInitialWeight +
+         (1 - kInitialWeight) * std::clamp(aProgress, 0.0, 1.0);
 }
 
 class SlowStartByTime final : public SlowStart
@@ -33,7 +34,7 @@
       return 1.0;
     }
     const std::chrono::duration<double> since = aNow - it->second;
-    return Ramp(since / kWarmAfter);
+    return Ramp(since / kWarmUpTime);
   }
 
 private:
@@ -57,7 +58,7 @@
   double Weight(HostId aHost, Time /*aNow*/) const override
   {
     auto it = mAnswers.find(aHost);
-    return it == mAnswers.end() ? 1.0 : Ramp(it->second / kWarmAnswers);
+    return it == mAnswers.end() ? 1.0 : Ramp(it->second / kWarmUpAnswers);
   }
 
 private:
@@ -75,7 +76,7 @@
     return std::make_unique<SlowStartByAnswers>();
   }
   return Fail(ErrorKind::InvalidInput,
-              "no slow start is named \"" + std::string(aName) + "\"",
+              "unknown slow start policy \"" + std::string(aName) + "\"",
               "use time or answers");
 }
 
--- a/src/decide/SlowStart.h
+++ b/src/decide/SlowStart.h
@@ -9,13 +9,13 @@
 
 namespace heatherplank {
 
-/** Says which share of work a host that just started, or came back, may get.
+/** Computes the share of work of a host that started or returned recently.
  *
- * Load it answers: a cold start. A new host has empty queues, so every policy
- * that looks at load sends it the most, while its caches are empty and its
- * first answers are many times slower. Without slow start its queue is full of
- * late work before its latency is known. It begins at a tenth: with seven hosts
- * that is a request in seventy, enough to warm up and too little to be felt.
+ * Guards against: a cold start. A new host has empty queues, so every
+ * load-based policy sends it the most work while its caches are empty and its
+ * first answers are many times slower; its queue fills with late work before
+ * its latency is known. The share starts at a tenth: with seven hosts this is
+ * one request in seventy, enough to warm up and too few to be noticeable.
  *
  * Not thread safe.
  */
@@ -24,21 +24,20 @@
 public:
   virtual ~SlowStart() = default;
 
-  /** The host starts to take work, or takes it again. */
+  /** The host starts or resumes accepting work. */
   virtual void OnStart(HostId aHost, Time aNow) = 0;
   /** The host answered a request. */
   virtual void OnAnswer(HostId aHost) = 0;
-  /** The host is gone. */
+  /** The host was removed. */
   virtual void Forget(HostId aHost) = 0;
-  /** Its weight for Candidate::mWeight, above 0 to 1; 1 if it never started
-   * while we looked on. */
+  /** The value of Candidate::mWeight, above 0 and up to 1; 1 if no start of the
+   * host was observed. */
   virtual double Weight(HostId aHost, Time aNow) const = 0;
 };
 
-/** "time": the weight grows evenly over ten seconds, which needs no reports.
- * "answers": it grows with the first 50 answers, since what warms a cache is
- * requests; a host nobody calls stays cold, as it is. InvalidInput for another
- * name. */
+/** "time": the weight grows linearly over ten seconds, which needs no reports.
+ * "answers": the weight grows with the first 50 answers, since requests warm a
+ * cache; a host without requests stays cold. InvalidInput for another name. */
 Result<std::unique_ptr<SlowStart>> MakeSlowStart(std::string_view aName);
 
 } // namespace heatherplank
--- a/src/decide/WaitEstimate.cpp
+++ b/src/decide/WaitEstimate.cpp
@@ -8,44 +8,47 @@
 
 namespace {
 
-constexpr double kLeastSlots = 0.05;
-constexpr int kLeastLeft = 4;
+constexpr double kMinSlots = 0.05;
+constexpr int kMinRemainingDivisor = 4;
 
 using Nanoseconds = std::chrono::duration<double, std::nano>;
 
-bool GoesBefore(const ClassState& aFirst, const ClassState& aSecond)
+bool HasHigherPriority(const ClassState& aFirst, const ClassState& aSecond)
 {
   return aFirst.mOptions.mImportance > aSecond.mOptions.mImportance;
 }
 
-bool GoesBeside(const ClassState& aFirst, const ClassState& aSecond)
+bool HasSamePriority(const ClassState& aFirst, const ClassState& aSecond)
 {
   return &aFirst != &aSecond &&
          aFirst.mOptions.mImportance == aSecond.mOptions.mImportance;
 }
 
-double WorkOf(const ClassState& aClass, std::uint32_t aCount)
+double ExpectedWork(const ClassState& aClass, std::uint32_t aCount)
 {
-  return static_cast<double>(aClass.mTimes.Mean().count()) * aCount;
+  return static_cast<double>(aClass.mServiceTimes.Mean().count()) * aCount;
 }
 
-// What is left of a request that runs, by its class's mean; one that has taken
-// longer than that is not about to end.
-double WorkLeft(const HostView& aHost, const RunningSlot& aSlot, Time aNow)
+// The remaining time of a running request by the mean of its class, at least a
+// quarter of it: a request that exceeded the mean isn't about to end.
+double RemainingWork(const HostView& aHost, const RunningSlot& aSlot, Time aNow)
 {
-  const Duration mean = aHost.mClasses[aSlot.mClass]->mTimes.Mean(aSlot.mSize);
-  const Duration left = mean - (aNow - aSlot.mSince);
-  return static_cast<double>(std::max(left, mean / kLeastLeft).count());
+  const Duration mean =
+    aHost.mClasses[aSlot.mClass]->mServiceTimes.Mean(aSlot.mSize);
+  const Duration left = mean - (aNow - aSlot.mStartedAt);
+  return static_cast<double>(
+    std::max(left, mean / kMinRemainingDivisor).count());
 }
 
-// When slots that come free one after the other have done aWork. One long
-// request holds up its own slot only; averaged over the slots, it would have
-// short work refused that the other slot can do at once.
-double TimeToDo(double aWork, const HostView& aHost, Time aNow)
+// The time at which the slots, becoming free one after the other, have
+// completed aWork. One long request occupies its own slot only; averaged over
+// all slots, it would cause refusal of short work that another slot can do at
+// once.
+double TimeToComplete(double aWork, const HostView& aHost, Time aNow)
 {
   boost::container::small_vector<double, 8> freeIn;
   for (const auto& it : aHost.mRunning) {
-    freeIn.push_back(WorkLeft(aHost, it, aNow));
+    freeIn.push_back(RemainingWork(aHost, it, aNow));
   }
   while (freeIn.size() < aHost.mSlots) {
     freeIn.push_back(0);
@@ -64,77 +67,78 @@
   return time;
 }
 
-double WorkWaitingBefore(const HostView& aHost, std::size_t aClass)
+double QueuedWorkAhead(const HostView& aHost, std::size_t aClass)
 {
   if (aHost.mOrder == ClassOrder::Share) {
     return 0;
   }
-  const ClassState& own = *aHost.mClasses[aClass];
+  const ClassState& self = *aHost.mClasses[aClass];
   double work = 0;
   for (const auto& it : aHost.mClasses) {
-    if (GoesBefore(*it, own) || GoesBeside(*it, own)) {
-      work += WorkOf(*it, it->mQueue.Size());
+    if (HasHigherPriority(*it, self) || HasSamePriority(*it, self)) {
+      work += ExpectedWork(*it, it->mQueue.Size());
     }
   }
   return work;
 }
 
-// By share, a class counts on its part among those that want slots.
+// With ClassOrder::Share, the class's portion among the active classes.
 double SlotsByShare(const HostView& aHost, std::size_t aClass, double aSlots)
 {
-  const ClassState& own = *aHost.mClasses[aClass];
-  double total = own.mOptions.mShare;
+  const ClassState& self = *aHost.mClasses[aClass];
+  double total = self.mOptions.mShare;
   for (const auto& it : aHost.mClasses) {
-    const bool wants = it->mQueue.Size() > 0 || it->mRunning > 0;
-    if (it.get() != &own && wants) {
+    const bool isActive = it->mQueue.Size() > 0 || it->mRunning > 0;
+    if (it.get() != &self && isActive) {
       total += it->mOptions.mShare;
     }
   }
-  return aSlots * own.mOptions.mShare / total;
+  return aSlots * self.mOptions.mShare / total;
 }
 
 } // namespace
 
-double SlotsToCountOn(const HostView& aHost, std::size_t aClass, Time aNow)
+double ExpectedSlots(const HostView& aHost, std::size_t aClass, Time aNow)
 {
-  double slots = SlotsFor(aHost.mClasses, aClass, aHost.mSlots);
+  double slots = MaxSlotsFor(aHost.mClasses, aClass, aHost.mSlots);
   if (aHost.mOrder == ClassOrder::Share) {
-    return std::max(kLeastSlots, SlotsByShare(aHost, aClass, slots));
+    return std::max(kMinSlots, SlotsByShare(aHost, aClass, slots));
   }
-  const ClassState& own = *aHost.mClasses[aClass];
+  const ClassState& self = *aHost.mClasses[aClass];
   for (const auto& it : aHost.mClasses) {
-    if (GoesBefore(*it, own)) {
-      const SlotUse& use = own.mOptions.mMayWait ? it->mLongUse : it->mUse;
+    if (HasHigherPriority(*it, self)) {
+      const SlotUse& use =
+        self.mOptions.mMayWait ? it->mLongTermUse : it->mRecentUse;
       slots -= use.Slots(aNow);
     }
   }
-  return std::max(kLeastSlots, slots);
+  return std::max(kMinSlots, slots);
 }
 
 Duration ExpectedWait(const HostView& aHost, std::size_t aClass,
                       std::uint32_t aAhead, Time aNow)
 {
-  const ClassState& own = *aHost.mClasses[aClass];
+  const ClassState& self = *aHost.mClasses[aClass];
   const Duration pause = std::max(Duration{}, aHost.mPausedUntil - aNow);
-  const double before = WorkWaitingBefore(aHost, aClass);
+  const double ahead = QueuedWorkAhead(aHost, aClass);
   const auto busy = static_cast<std::uint32_t>(aHost.mRunning.size());
   const std::uint32_t free = aHost.mSlots > busy ? aHost.mSlots - busy : 0;
-  const bool startsNow = aAhead == 0 && before == 0 && free > 0 &&
+  const bool startsNow = aAhead == 0 && ahead == 0 && free > 0 &&
                          MayTakeSlot(aHost.mClasses, aClass, free);
   if (startsNow) {
     return pause;
   }
-  const double share = SlotsToCountOn(aHost, aClass, aNow) / aHost.mSlots;
-  const double work = (before + WorkOf(own, aAhead)) / share;
-  const Nanoseconds wait(TimeToDo(work, aHost, aNow));
+  const double share = ExpectedSlots(aHost, aClass, aNow) / aHost.mSlots;
+  const double work = (ahead + ExpectedWork(self, aAhead)) / share;
+  const Nanoseconds wait(TimeToComplete(work, aHost, aNow));
   return pause + std::chrono::duration_cast<Duration>(wait);
 }
 
 Duration ExpectedInterval(const HostView& aHost, std::size_t aClass, Time aNow)
 {
-  const double mean = WorkOf(*aHost.mClasses[aClass], 1);
-  const Nanoseconds every(mean / SlotsToCountOn(aHost, aClass, aNow));
-  return std::chrono::duration_cast<Duration>(every);
+  const double mean = ExpectedWork(*aHost.mClasses[aClass], 1);
+  const Nanoseconds interval(mean / ExpectedSlots(aHost, aClass, aNow));
+  return std::chrono::duration_cast<Duration>(interval);
 }
 
 } // namespace heatherplank
--- a/src/decide/WaitEstimate.h
+++ b/src/decide/WaitEstimate.h
@@ -8,39 +8,42 @@
 
 namespace heatherplank {
 
-/** A request in a slot. */
+/** A request that holds a slot. */
 struct RunningSlot
 {
   RequestId mId = 0;
   std::uint16_t mClass = 0;
   std::uint32_t mSize = 0;
-  Time mSince;
+  Time mStartedAt;
   Time mArrival;
 };
 
-/** What a wait is estimated from. A view; valid while its parts stay. */
+/** The input of a wait estimate. Doesn't own its parts; valid while they exist.
+ */
 struct HostView
 {
   ClassStates mClasses;
   std::span<const RunningSlot> mRunning;
   std::uint32_t mSlots = 1;
   ClassOrder mOrder = ClassOrder::Importance;
-  /** No dispatch before this moment. */
+  /** No request is dispatched before this time. */
   Time mPausedUntil;
 };
 
-/** Slots that a class can count on: those it can hold, less what classes that
- * go before it used lately. At least a twentieth of a slot, so that a wait
- * stays finite. */
-double SlotsToCountOn(const HostView& aHost, std::size_t aClass, Time aNow);
+/** The expected number of slots for a class: the slots it can hold less the
+ * recent use by classes of higher priority. At least a twentieth of a slot, so
+ * that a wait is finite. */
+double ExpectedSlots(const HostView& aHost, std::size_t aClass, Time aNow);
 
-/** How long a request waits that has aAhead others of its class before it. It
- * counts what runs, what waits before it, and what classes that go before it
- * will bring meanwhile, going by what they brought lately. */
+/** The expected wait of a request with aAhead requests of its class ahead of
+ * it. Includes running requests, queued requests that go first, and requests
+ * that classes of higher priority will add meanwhile, extrapolated from their
+ * recent use. */
 Duration ExpectedWait(const HostView& aHost, std::size_t aClass,
                       std::uint32_t aAhead, Time aNow);
 
-/** How often the host starts a request of the class, all slots busy. */
+/** The expected interval between dispatches of the class while all slots are
+ * busy. */
 Duration ExpectedInterval(const HostView& aHost, std::size_t aClass, Time aNow);
 
 } // namespace heatherplank
--- a/tests/AdmissionDriver.h
+++ b/tests/AdmissionDriver.h
@@ -11,8 +11,8 @@
 
 using namespace std::chrono_literals;
 
-/** Class 0: claims (critical, one slot kept); 1: checks (high); 2: documents
- * (low, may wait, one slot at most). */
+/** Class 0: claims (critical, one reserved slot); 1: checks (high); 2:
+ * documents (low, deferrable, at most one slot). */
 inline AdmissionOptions ThreeClasses()
 {
   Service service;
@@ -41,7 +41,7 @@
 constexpr std::uint16_t kChecks = 1;
 constexpr std::uint16_t kDocuments = 2;
 
-/** Drives an admission policy on a clock that stands until it is moved. */
+/** Drives an admission policy on a clock that only the test advances. */
 class AdmissionDriver
 {
 public:
@@ -52,7 +52,7 @@
   {
   }
 
-  /** A request with its class's deadline; gives its id. */
+  /** Sends a request with the deadline of its class; returns its id. */
   RequestId Send(std::uint16_t aClass, std::uint64_t aCaller = 1)
   {
     Request request;
@@ -71,20 +71,21 @@
     return aRequest.mId;
   }
 
-  void Done(RequestId aId, Duration aTook,
+  void Done(RequestId aId, Duration aServiceTime,
             RunResult aResult = RunResult::Answered)
   {
     mActions.clear();
-    mPolicy->OnDone(aId, aResult, aTook, mNow, mActions);
+    mPolicy->OnDone(aId, aResult, aServiceTime, mNow, mActions);
   }
 
-  /** Runs one request after the other, so that their time is known. */
-  void Teach(std::uint16_t aClass, Duration aTook, int aTimes = 40)
+  /** Runs requests one at a time, so that their service time is observed. */
+  void TrainServiceTime(std::uint16_t aClass, Duration aServiceTime,
+                        int aTimes = 40)
   {
     for (int i = 0; i < aTimes; ++i) {
       const RequestId id = Send(aClass);
-      mNow += aTook;
-      Done(id, aTook);
+      mNow += aServiceTime;
+      Done(id, aServiceTime);
     }
     mNow += 5s;
   }
@@ -97,7 +98,7 @@
   }
 
   /** The action on a request in the last event; null if none. */
-  const Action* Of(RequestId aId) const
+  const Action* ActionFor(RequestId aId) const
   {
     for (const auto& it : mActions) {
       if (it.mId == aId) {
@@ -107,16 +108,16 @@
     return nullptr;
   }
 
-  bool Is(RequestId aId, ActionKind aKind) const
+  bool HasAction(RequestId aId, ActionKind aKind) const
   {
-    const Action* action = Of(aId);
+    const Action* action = ActionFor(aId);
     return action != nullptr && action->mKind == aKind;
   }
 
-  /** "refused: REASON", "dispatched", "handed on", "expired" or "waits". */
-  std::string What(RequestId aId) const
+  /** "refused: REASON", "dispatched", "forwarded", "expired" or "waits". */
+  std::string Outcome(RequestId aId) const
   {
-    const Action* action = Of(aId);
+    const Action* action = ActionFor(aId);
     if (action == nullptr) {
       return "waits";
     }
@@ -126,15 +127,15 @@
       case ActionKind::Refuse:
         return "refused: " + std::string(ToString(action->mReason));
       case ActionKind::HandOn:
-        return "handed on";
+        return "forwarded";
       case ActionKind::Expire:
         return "expired";
     }
     return "";
   }
 
-  /** Figures of three other hosts, of which one is idle. */
-  void OneIdlePeer()
+  /** Reports the load of three other hosts, one of them idle. */
+  void ReportOneIdlePeer()
   {
     std::vector<Candidate> peers(3);
     for (std::size_t i = 0; i < peers.size(); ++i) {
--- a/tests/AdmissionInvariantTest.cpp
+++ b/tests/AdmissionInvariantTest.cpp
@@ -10,14 +10,14 @@
 
 namespace {
 
-enum class Life : std::uint8_t
+enum class RequestState : std::uint8_t
 {
-  Waits,
-  Runs,
-  Over,
+  Queued,
+  Running,
+  Ended,
 };
 
-// Feeds random events and keeps its own books of each request's life.
+// Feeds random events and tracks the state of each request independently.
 class RandomDriver
 {
 public:
@@ -38,7 +38,7 @@
         mHost.Advance(0ms);
         break;
       case 2:
-        mHost.OneIdlePeer();
+        mHost.ReportOneIdlePeer();
         break;
       case 3:
         SetSlots();
@@ -46,33 +46,33 @@
       case 4:
       case 5:
       case 6:
-        End();
+        FinishOne();
         break;
       default:
-        Arrive();
+        SendRandom();
     }
-    Book();
+    CheckActions();
   }
 
   void Drain()
   {
     mHost.mActions.clear();
     mHost.mPolicy->OnDrain(mHost.mNow, mHost.mActions);
-    Book();
+    CheckActions();
     while (!mRunning.empty()) {
-      End();
-      Book();
+      FinishOne();
+      CheckActions();
     }
   }
 
-  std::size_t Count(Life aLife) const
+  std::size_t Count(RequestState aState) const
   {
     return static_cast<std::size_t>(std::ranges::count(
-      mLives, aLife, [](const auto& aIt) { return aIt.second; }));
+      mStates, aState, [](const auto& aIt) { return aIt.second; }));
   }
 
 private:
-  void Arrive()
+  void SendRandom()
   {
     Request request;
     request.mId = ++mHost.mLast;
@@ -81,11 +81,11 @@
     request.mHops = static_cast<std::uint16_t>(mRng() % 2);
     request.mArrival = mHost.mNow;
     request.mDeadline = mHost.mNow + std::chrono::milliseconds(mRng() % 3000);
-    mLives[request.mId] = Life::Waits;
+    mStates[request.mId] = RequestState::Queued;
     mHost.Send(request);
   }
 
-  void End()
+  void FinishOne()
   {
     if (mRunning.empty()) {
       mHost.Advance(0ms);
@@ -93,7 +93,7 @@
     }
     const RequestId id = mRunning[mRng() % mRunning.size()];
     std::erase(mRunning, id);
-    mLives[id] = Life::Over;
+    mStates[id] = RequestState::Ended;
     const auto result = static_cast<RunResult>(mRng() % 6);
     mHost.Done(id, std::chrono::milliseconds(mRng() % 200), result);
   }
@@ -103,8 +103,8 @@
     mHost.mActions.clear();
     const RequestId id = mHost.mLast - mRng() % 20;
     if (mHost.mPolicy->OnCancel(id, mHost.mNow, mHost.mActions)) {
-      CHECK_TRUE(mLives.at(id) == Life::Waits);
-      mLives[id] = Life::Over;
+      CHECK_TRUE(mStates.at(id) == RequestState::Queued);
+      mStates[id] = RequestState::Ended;
     }
   }
 
@@ -115,23 +115,23 @@
     mHost.mPolicy->OnSlots(mSlots, mHost.mNow, mHost.mActions);
   }
 
-  void Book()
+  void CheckActions()
   {
     for (const auto& it : mHost.mActions) {
-      CHECK_TRUE(mLives.at(it.mId) == Life::Waits);
+      CHECK_TRUE(mStates.at(it.mId) == RequestState::Queued);
       const bool runs = it.mKind == ActionKind::Dispatch;
-      mLives[it.mId] = runs ? Life::Runs : Life::Over;
+      mStates[it.mId] = runs ? RequestState::Running : RequestState::Ended;
       if (runs) {
         mRunning.push_back(it.mId);
         CHECK_TRUE(mRunning.size() <= mSlots);
       }
-      const bool isTold = it.mRetryAfter > Duration{};
+      const bool hasRetryTime = it.mRetryAfter > Duration{};
       const bool isRefusal =
         it.mKind == ActionKind::Refuse || it.mKind == ActionKind::Expire;
-      CHECK_EQUAL(isRefusal, isTold);
+      CHECK_EQUAL(isRefusal, hasRetryTime);
     }
     mHost.mActions.clear();
-    CHECK_EQUAL(Count(Life::Waits), mHost.mPolicy->Load().mQueued);
+    CHECK_EQUAL(Count(RequestState::Queued), mHost.mPolicy->Load().mQueued);
     CHECK_EQUAL(mRunning.size(), mHost.mPolicy->Load().mBusy);
     const auto next = mHost.mPolicy->NextWakeUp();
     CHECK_TRUE(!next || *next > mHost.mNow);
@@ -140,7 +140,7 @@
   AdmissionDriver mHost;
   std::mt19937_64 mRng;
   std::uint32_t mSlots = 2;
-  std::map<RequestId, Life> mLives;
+  std::map<RequestId, RequestState> mStates;
   std::vector<RequestId> mRunning;
 };
 
@@ -148,9 +148,9 @@
 
 TEST_GROUP(AdmissionInvariant){};
 
-// Whatever comes in whatever order: no request is answered twice, run twice or
-// forgotten, no slot is given twice, and every refusal says when to return.
-TEST(AdmissionInvariant, EachRequestEndsOnceAndEachSlotIsUsedOnce)
+// For random events in random order: no request is answered twice, run twice or
+// lost, no slot is used twice, and every refusal has a retry time.
+TEST(AdmissionInvariant, EachRequestEndsOnceAndSlotsAreNotExceeded)
 {
   for (auto name : { "reservation", "priority", "fifo" }) {
     for (std::uint64_t seed = 1; seed <= 20; ++seed) {
@@ -159,8 +159,8 @@
         driver.Step();
       }
       driver.Drain();
-      CHECK_EQUAL(0, driver.Count(Life::Waits));
-      CHECK_EQUAL(0, driver.Count(Life::Runs));
+      CHECK_EQUAL(0, driver.Count(RequestState::Queued));
+      CHECK_EQUAL(0, driver.Count(RequestState::Running));
     }
   }
 }
--- a/tests/AdmissionTest.cpp
+++ b/tests/AdmissionTest.cpp
@@ -17,65 +17,65 @@
 
 TEST_GROUP(Admission){};
 
-TEST(Admission, BadOptionsAndNamesAreRefused)
+TEST(Admission, InvalidOptionsOrNameReturnsError)
 {
   CHECK_FALSE(MakeAdmissionPolicy("reservation", {}).has_value());
   CHECK_FALSE(MakeAdmissionPolicy("best", ThreeClasses()).has_value());
 }
 
-TEST(Admission, AFreeSlotRunsAtOnceAndTheNextWaits)
+TEST(Admission, RequestsBeyondTheSlotsAreQueued)
 {
   AdmissionDriver host(ThreeClasses());
-  STRCMP_EQUAL("dispatched", host.What(host.Send(kClaims)).c_str());
-  STRCMP_EQUAL("dispatched", host.What(host.Send(kClaims)).c_str());
+  STRCMP_EQUAL("dispatched", host.Outcome(host.Send(kClaims)).c_str());
+  STRCMP_EQUAL("dispatched", host.Outcome(host.Send(kClaims)).c_str());
   auto third = host.Send(kClaims);
-  STRCMP_EQUAL("waits", host.What(third).c_str());
+  STRCMP_EQUAL("waits", host.Outcome(third).c_str());
   host.Done(1, 20ms);
-  STRCMP_EQUAL("dispatched", host.What(third).c_str());
+  STRCMP_EQUAL("dispatched", host.Outcome(third).c_str());
 }
 
-// The morning rush: checks wait when a claim comes in. The owner of the claim
-// is at the slipway; served in order of arrival it would wait behind them all.
-TEST(Admission, AClaimPassesTheChecksThatWait)
+// Guards against FIFO order: a claim that arrives while checks are queued would
+// wait behind all of them.
+TEST(Admission, MoreImportantClassRunsBeforeQueuedRequests)
 {
   AdmissionDriver host(ThreeClasses());
-  host.Teach(kChecks, 20ms);
+  host.TrainServiceTime(kChecks, 20ms);
   auto running = host.Send(kChecks);
   for (int i = 0; i < 5; ++i) {
     host.Send(kChecks);
   }
   auto claim = host.Send(kClaims);
   host.Done(running, 20ms);
-  CHECK_TRUE(host.Is(claim, ActionKind::Dispatch));
+  CHECK_TRUE(host.HasAction(claim, ActionKind::Dispatch));
 }
 
-// Saturation: the queue is longer than the deadline allows. Without early
-// refusal the caller waits a whole second to learn nothing, and its work takes
-// a slot when the answer is already worthless.
-TEST(Admission, WhatCantBeAnsweredInTimeIsRefusedAtTheDoor)
+// At saturation the queue is longer than the deadline allows. Without early
+// refusal, callers wait a whole second for a failure, and their requests take
+// slots when the answers are already worthless.
+TEST(Admission, RequestThatCannotMeetItsDeadlineIsRefusedOnArrival)
 {
   for (bool on : { true, false }) {
     auto options = ThreeClasses();
     options.mGuards.mEarlyRefusal = on;
     AdmissionDriver host(options);
-    host.Teach(kClaims, 200ms);
+    host.TrainServiceTime(kClaims, 200ms);
     std::size_t refused = 0;
     for (std::uint64_t caller = 0; caller < 20; ++caller) {
       host.Send(kClaims, caller);
       refused += Count(host.mActions, ActionKind::Refuse);
     }
-    // 2 run, and in the 800 ms that are left 8 more can start.
+    // 2 run, and in the remaining 800 ms 8 more can start.
     CHECK_EQUAL(on, refused >= 10);
     CHECK_EQUAL(on, refused > 0);
   }
 }
 
-// The backend server stalls after requests were let in. They must be told as
-// soon as it is clear that they lost their chance, not at their deadline.
-TEST(Admission, WhatLosesItsChanceWhileWaitingIsRefusedThen)
+// The backend server stalls after requests were admitted. They must be refused
+// as soon as their deadline is unreachable, not when it passes.
+TEST(Admission, QueuedRequestIsRefusedOnceItsDeadlineIsUnreachable)
 {
   AdmissionDriver host(ThreeClasses());
-  host.Teach(kClaims, 100ms);
+  host.TrainServiceTime(kClaims, 100ms);
   auto first = host.Send(kClaims, 1);
   auto second = host.Send(kClaims, 2);
   std::vector<RequestId> waiting;
@@ -88,71 +88,72 @@
   host.Advance(50ms);
   CHECK_TRUE(Count(host.mActions, ActionKind::Refuse) > 0);
   for (auto it : waiting) {
-    if (const Action* action = host.Of(it)) {
+    if (const Action* action = host.ActionFor(it)) {
       CHECK_TRUE(action->mRetryAfter > Duration{});
     }
   }
 }
 
-// Two long downloads on a host of two slots: without the reservation both
-// slots are lent to them, and a claim has to wait out the shorter one.
-TEST(Admission, LongWorkDoesNotTakeTheSlotKeptForClaims)
+// Two long downloads on a host with two slots: without the reservation both
+// slots are lent to them, and a claim has to wait for the shorter one.
+TEST(Admission, LongRequestsDoNotTakeTheReservedSlot)
 {
   for (bool on : { true, false }) {
     auto options = ThreeClasses();
     options.mGuards.mReservation = on;
     AdmissionDriver host(options);
-    host.Teach(kClaims, 20ms);
-    host.Teach(kDocuments, 3s);
+    host.TrainServiceTime(kClaims, 20ms);
+    host.TrainServiceTime(kDocuments, 3s);
     host.Send(kDocuments);
     host.Send(kDocuments);
     auto claim = host.Send(kClaims);
-    CHECK_EQUAL(on, host.Is(claim, ActionKind::Dispatch));
+    CHECK_EQUAL(on, host.HasAction(claim, ActionKind::Dispatch));
   }
 }
 
-// The same slot is lent when the work is short: kept idle it would halve what
-// checks get on a quiet day.
-TEST(Admission, ShortWorkBorrowsTheSlotKeptForClaims)
+// The reserved slot is lent to short work: kept idle, it would halve the
+// throughput of checks at low load.
+TEST(Admission, ShortRequestsBorrowTheReservedSlot)
 {
   AdmissionDriver host(ThreeClasses());
-  host.Teach(kChecks, 20ms);
+  host.TrainServiceTime(kChecks, 20ms);
   host.Send(kChecks);
-  CHECK_TRUE(host.Is(host.Send(kChecks), ActionKind::Dispatch));
+  CHECK_TRUE(host.HasAction(host.Send(kChecks), ActionKind::Dispatch));
 }
 
-// One broker's script sends most of the requests. Without turns and a bound
-// for each caller, its queue is everybody's queue.
-TEST(Admission, ABusyCallerDoesNotPushOutTheOthers)
+// One caller sends most of the requests. Without round-robin service and a
+// bound for each caller, its requests fill the queue and other callers are
+// refused.
+TEST(Admission, BusyCallerDoesNotStarveOthers)
 {
   for (bool on : { true, false }) {
     auto options = ThreeClasses();
     options.mGuards.mFairness = on;
     AdmissionDriver host(options);
-    host.Teach(kChecks, 100ms);
+    host.TrainServiceTime(kChecks, 100ms);
     std::string last;
     for (int i = 0; i < 100; ++i) {
-      last = host.What(host.Send(kChecks, 7));
+      last = host.Outcome(host.Send(kChecks, 7));
     }
     CHECK_EQUAL(on, last == "refused: over_share");
     auto other = host.Send(kChecks, 8);
-    CHECK_EQUAL(on, host.What(other) == "waits");
+    CHECK_EQUAL(on, host.Outcome(other) == "waits");
   }
 }
 
-// Documents that were let in must come to run though claims keep every slot
-// busy; by importance alone they would wait until their deadline passed.
-TEST(Admission, AcceptedDocumentsRunBeforeTheirDeadline)
+// Admitted deferrable work must run although claims keep every slot busy; by
+// importance alone it would wait until its deadline passed.
+TEST(Admission, AdmittedDeferrableRequestRunsBeforeItsDeadline)
 {
   AdmissionDriver host(ThreeClasses());
-  host.Teach(kClaims, 100ms);
-  host.Teach(kDocuments, 100ms);
+  host.TrainServiceTime(kClaims, 100ms);
+  host.TrainServiceTime(kDocuments, 100ms);
   std::vector<RequestId> running{ host.Send(kClaims, 1),
                                   host.Send(kClaims, 2) };
   const RequestId document = host.Send(kDocuments);
-  STRCMP_EQUAL("waits", host.What(document).c_str());
-  bool ran = false;
-  for (int step = 0; step < 99 && !ran; ++step) {
+  STRCMP_EQUAL("waits", host.Outcome(document).c_str());
+  bool dispatched = false;
+  for (int step = 0; step < 99 && !dispatched; ++step) {
     for (std::uint64_t caller = 0; caller < 4; ++caller) {
       host.Send(kClaims, caller);
     }
@@ -164,19 +165,20 @@
       for (const auto& action : host.mActions) {
         CHECK_FALSE(action.mId == document &&
                     action.mKind != ActionKind::Dispatch);
-        ran = ran || action.mId == document;
+        dispatched = dispatched || action.mId == document;
         if (action.mKind == ActionKind::Dispatch) {
           running.push_back(action.mId);
         }
       }
     }
   }
-  CHECK_TRUE(ran);
+  CHECK_TRUE(dispatched);
 }
 
-// A slow spell put the estimate above the deadline. Were all refused from then
-// on, no answer would ever correct it, and an idle host would refuse for good.
-TEST(Admission, AnIdleHostRecoversFromABadEstimate)
+// A slow period raised the estimate above the deadline. If all later requests
+// were refused, no answer would correct it, and an idle host would refuse
+// requests for good.
+TEST(Admission, ProbesCorrectTooHighAnEstimateOnAnIdleHost)
 {
   for (bool on : { true, false }) {
     auto options = ThreeClasses();
@@ -189,7 +191,7 @@
     for (int i = 0; i < 100; ++i) {
       host.mNow += 50ms;
       auto id = host.Send(kClaims);
-      if (host.Is(id, ActionKind::Dispatch)) {
+      if (host.HasAction(id, ActionKind::Dispatch)) {
         ++dispatched;
         host.Done(id, 20ms);
       }
@@ -199,48 +201,49 @@
   }
 }
 
-// A crowd is refused in the same millisecond. Told the same moment, all come
-// back in it and are refused again, on a beat.
-TEST(Admission, ARefusedCrowdIsToldDifferentMoments)
+// A burst is refused in the same millisecond. With equal retry times, all
+// callers would return at once and be refused again, repeatedly.
+TEST(Admission, RefusedBurstGetsSpreadRetryTimes)
 {
   for (bool on : { true, false }) {
     auto options = ThreeClasses();
     options.mGuards.mSpreadReturns = on;
     AdmissionDriver host(options);
-    host.Teach(kChecks, 50ms);
-    std::vector<Duration> told;
+    host.TrainServiceTime(kChecks, 50ms);
+    std::vector<Duration> retryAfters;
     for (std::uint64_t caller = 0; caller < 400; ++caller) {
       auto id = host.Send(kChecks, caller);
-      if (host.Is(id, ActionKind::Refuse)) {
-        told.push_back(host.Of(id)->mRetryAfter);
+      if (host.HasAction(id, ActionKind::Refuse)) {
+        retryAfters.push_back(host.ActionFor(id)->mRetryAfter);
       }
     }
-    std::ranges::sort(told);
-    CHECK_TRUE(told.size() > 300);
+    std::ranges::sort(retryAfters);
+    CHECK_TRUE(retryAfters.size() > 300);
     // 2 slots of 50 ms serve 40 a second: 300 callers take over 7 s.
-    const Duration spread = told[told.size() - 1] - told[0];
+    const Duration spread =
+      retryAfters[retryAfters.size() - 1] - retryAfters[0];
     CHECK_EQUAL(on, spread > 6s);
-    CHECK_TRUE(told.front() > Duration{});
+    CHECK_TRUE(retryAfters.front() > Duration{});
   }
 }
 
-// The backend server sheds. Sent the next one at once, and the next, it would
-// shed the whole queue within milliseconds.
-TEST(Admission, AShedPausesTheQueue)
+// Guards against dispatching the next request at once after the backend server
+// sheds one: the server would shed the whole queue within milliseconds.
+TEST(Admission, ShedRequestPausesDispatch)
 {
   AdmissionDriver host(ThreeClasses());
-  host.Teach(kChecks, 50ms);
+  host.TrainServiceTime(kChecks, 50ms);
   auto first = host.Send(kChecks, 1);
   host.Send(kChecks, 2);
   auto waiting = host.Send(kChecks, 3);
   host.Done(first, 1ms, RunResult::Shed);
-  STRCMP_EQUAL("waits", host.What(waiting).c_str());
+  STRCMP_EQUAL("waits", host.Outcome(waiting).c_str());
   CHECK_TRUE(host.mPolicy->NextWakeUp() <= host.mNow + 10ms);
   host.Advance(10ms);
-  STRCMP_EQUAL("dispatched", host.What(waiting).c_str());
+  STRCMP_EQUAL("dispatched", host.Outcome(waiting).c_str());
 }
 
-TEST(Admission, WhatWaitsCanBeWithdrawnAndWhatRunsCant)
+TEST(Admission, CancelRemovesQueuedButNotRunningRequests)
 {
   AdmissionDriver host(ThreeClasses());
   auto runs = host.Send(kChecks);
@@ -253,56 +256,57 @@
   CHECK_TRUE(host.mActions.empty());
 }
 
-// A planned stop. What runs is not cut; what waits gets an answer now, from
-// here or from a host that has room.
-TEST(Admission, ADrainEmptiesTheQueueAndCutsNothing)
+// A planned stop: running requests continue, and queued requests are answered
+// at once, either refused here or forwarded to a host that has room.
+TEST(Admission, DrainEmptiesTheQueueAndKeepsRunningRequests)
 {
   for (bool withPeer : { true, false }) {
     AdmissionDriver host(ThreeClasses());
-    host.Teach(kChecks, 50ms);
+    host.TrainServiceTime(kChecks, 50ms);
     for (std::uint64_t caller = 0; caller < 4; ++caller) {
       host.Send(kChecks, caller);
     }
     if (withPeer) {
-      host.OneIdlePeer();
+      host.ReportOneIdlePeer();
     }
     host.mActions.clear();
     host.mPolicy->OnDrain(host.mNow, host.mActions);
     CHECK_EQUAL(2, Count(host.mActions,
                          withPeer ? ActionKind::HandOn : ActionKind::Refuse));
     CHECK_EQUAL(2, host.mPolicy->Load().mBusy);
-    auto late = host.Send(kChecks);
-    CHECK_TRUE(
-      host.Is(late, withPeer ? ActionKind::HandOn : ActionKind::Refuse));
+    auto lateArrival = host.Send(kChecks);
+    CHECK_TRUE(host.HasAction(lateArrival, withPeer ? ActionKind::HandOn
+                                                    : ActionKind::Refuse));
   }
 }
 
-// Busy flows queue up here while another host idles. Moving on every small
-// difference, hosts with old figures would pass work back and forth.
-TEST(Admission, WaitingWorkMovesOnceAndOnlyForAClearGain)
+// Busy flows queue up here while another host idles. If hosts with stale load
+// reports forwarded on every small difference, requests would move back and
+// forth.
+TEST(Admission, QueuedRequestIsForwardedOnlyForAClearGain)
 {
   AdmissionDriver host(ThreeClasses());
-  host.Teach(kChecks, 20ms);
+  host.TrainServiceTime(kChecks, 20ms);
   for (std::uint64_t caller = 0; caller < 4; ++caller) {
     host.Send(kChecks, caller);
   }
-  host.OneIdlePeer();
+  host.ReportOneIdlePeer();
   CHECK_EQUAL(0, host.mActions.size());
   for (std::uint64_t caller = 4; caller < 14; ++caller) {
     host.Send(kChecks, caller);
   }
-  host.OneIdlePeer();
-  const auto moved = Count(host.mActions, ActionKind::HandOn);
-  CHECK_TRUE(moved >= 1 && moved <= 2);
+  host.ReportOneIdlePeer();
+  const auto forwarded = Count(host.mActions, ActionKind::HandOn);
+  CHECK_TRUE(forwarded >= 1 && forwarded <= 2);
 }
 
-TEST(Admission, MovedWorkIsNotMovedAgain)
+TEST(Admission, ForwardedRequestIsNotForwardedAgain)
 {
   for (bool on : { true, false }) {
     auto options = ThreeClasses();
     options.mGuards.mHandOnHysteresis = on;
     AdmissionDriver host(options);
-    host.Teach(kChecks, 20ms);
+    host.TrainServiceTime(kChecks, 20ms);
     for (std::uint64_t i = 0; i < 14; ++i) {
       Request request;
       request.mId = 1000 + i;
@@ -313,12 +317,12 @@
       request.mDeadline = host.mNow + 1s;
       host.Send(request);
     }
-    host.OneIdlePeer();
+    host.ReportOneIdlePeer();
     CHECK_EQUAL(on, Count(host.mActions, ActionKind::HandOn) == 0);
   }
 }
 
-TEST(Admission, FewerSlotsCutNothingThatRuns)
+TEST(Admission, SlotReductionKeepsRunningRequests)
 {
   AdmissionDriver host(ThreeClasses());
   auto first = host.Send(kChecks);
@@ -328,17 +332,17 @@
   host.mPolicy->OnSlots(1, host.mNow, host.mActions);
   CHECK_TRUE(host.mActions.empty());
   host.Done(first, 20ms);
-  STRCMP_EQUAL("waits", host.What(third).c_str());
+  STRCMP_EQUAL("waits", host.Outcome(third).c_str());
 }
 
-// Documents wait although a slot is free: it is kept for claims. A wake-up
-// time that has passed would have the driver tick in a circle and answer
-// nobody (the load bench hung in this way).
-TEST(Admission, TheNextWakeUpIsAlwaysAhead)
+// Documents stay queued although a slot is free, since it is reserved for
+// claims. A wake-up time in the past would make the driver tick in a busy loop
+// without answering any request (seen as a hang of the load benchmark).
+TEST(Admission, NextWakeUpIsInTheFuture)
 {
   AdmissionDriver host(ThreeClasses());
-  host.Teach(kClaims, 20ms);
-  host.Teach(kDocuments, 3s);
+  host.TrainServiceTime(kClaims, 20ms);
+  host.TrainServiceTime(kDocuments, 3s);
   host.Send(kDocuments);
   host.Send(kDocuments);
   for (int i = 0; i < 200; ++i) {
@@ -351,12 +355,12 @@
   }
 }
 
-// Operators change a rule while the queue is full. What waits keeps its place
-// and its promise; rebuilt from nothing, the host would lose it.
-TEST(Admission, NewRulesKeepWhatWaitsAndWhatWasLearned)
+// A rule changes while the queue is full. Queued requests must keep their
+// places; a policy rebuilt from scratch would lose them.
+TEST(Admission, RuleChangeKeepsQueuedRequestsAndEstimates)
 {
   AdmissionDriver host(ThreeClasses());
-  host.Teach(kClaims, 100ms);
+  host.TrainServiceTime(kClaims, 100ms);
   auto runs = host.Send(kChecks, 1);
   host.Send(kChecks, 2);
   auto check = host.Send(kChecks, 3);
@@ -369,28 +373,28 @@
   CHECK_TRUE(host.mActions.empty());
   CHECK_EQUAL(2, host.mPolicy->Load().mQueued);
   host.Done(runs, 20ms);
-  STRCMP_EQUAL("dispatched", host.What(claim).c_str());
+  STRCMP_EQUAL("dispatched", host.Outcome(claim).c_str());
   host.Done(claim, 100ms);
-  STRCMP_EQUAL("dispatched", host.What(check).c_str());
+  STRCMP_EQUAL("dispatched", host.Outcome(check).c_str());
   host.Send(1, 5);
   CHECK_EQUAL(1, host.mPolicy->Load().mQueued);
 }
 
-// A document was let in by another host, which handed it on. Refused here for
-// want of room, it would come back to its caller after seconds of waiting.
-TEST(Admission, ADocumentThatAnotherHostLetInIsLetIn)
+// Another host admitted a document and forwarded it. Refused here for lack of
+// room, it would be returned to its caller after seconds of waiting.
+TEST(Admission, ForwardedDeferrableRequestIsAdmitted)
 {
   AdmissionDriver host(ThreeClasses());
-  host.Teach(kDocuments, 1s);
+  host.TrainServiceTime(kDocuments, 1s);
   RequestId id = 0;
-  while (id == 0 || host.What(id) != "refused: deadline_unreachable") {
+  while (id == 0 || host.Outcome(id) != "refused: deadline_unreachable") {
     id = host.Send(kDocuments, id);
   }
-  Request moved;
-  moved.mId = 9999;
-  moved.mClass = kDocuments;
-  moved.mHops = 1;
-  moved.mArrival = host.mNow;
-  moved.mDeadline = host.mNow + 10s;
-  STRCMP_EQUAL("waits", host.What(host.Send(moved)).c_str());
+  Request forwarded;
+  forwarded.mId = 9999;
+  forwarded.mClass = kDocuments;
+  forwarded.mHops = 1;
+  forwarded.mArrival = host.mNow;
+  forwarded.mDeadline = host.mNow + 10s;
+  STRCMP_EQUAL("waits", host.Outcome(host.Send(forwarded)).c_str());
 }
--- a/tests/BalancingPolicyTest.cpp
+++ b/tests/BalancingPolicyTest.cpp
@@ -17,10 +17,10 @@
   std::array<int, 4> mCounts{};
 };
 
-// 4 hosts alike but for what aChange does to them; how often each is picked
-// in 4,000 flows.
+// Four hosts, equal except for aChange; counts how often each is picked in
+// 4,000 flows.
 template<typename Change>
-Picks Play(std::string_view aName, Change aChange)
+Picks CountPicks(std::string_view aName, Change aChange)
 {
   std::array<Candidate, 4> hosts;
   for (std::size_t i = 0; i < hosts.size(); ++i) {
@@ -42,53 +42,53 @@
 
 TEST_GROUP(BalancingPolicy){};
 
-TEST(BalancingPolicy, AnUnknownNameSaysWhichThereAre)
+TEST(BalancingPolicy, UnknownNameReturnsErrorWithValidNames)
 {
   auto made = MakeBalancingPolicy("best", 1);
   CHECK_FALSE(made.has_value());
   CHECK_TRUE(made.error().mRemedy.find("two-choices") != std::string::npos);
 }
 
-TEST(BalancingPolicy, EachNameMakesThePolicyOfThatName)
+TEST(BalancingPolicy, PolicyReportsTheNameItWasMadeBy)
 {
   for (auto it : BalancingPolicyNames()) {
     CHECK_TRUE(MakeBalancingPolicy(it, 1).value()->Name() == it);
   }
 }
 
-// A host is held out (it drains, or it fails); a flow sent there would be cut
-// or refused. No policy may pick it while another is left.
-TEST(BalancingPolicy, AHostOfNoWeightGetsNothing)
+// A host is excluded because it drains or fails; a flow sent there would be cut
+// or refused. No policy may pick it while another host is left.
+TEST(BalancingPolicy, HostWithZeroWeightGetsNoFlows)
 {
   for (auto it : BalancingPolicyNames()) {
-    auto picks = Play(it, [](auto& aHosts) { aHosts[0].mWeight = 0; });
+    auto picks = CountPicks(it, [](auto& aHosts) { aHosts[0].mWeight = 0; });
     CHECK_EQUAL(0, picks.mCounts[0]);
   }
 }
 
-// A cold host gets a tenth of a share; its cache is empty and a full share
+// A cold host gets a tenth of a share: its cache is empty, and a full share
 // would queue behind slow first answers.
-TEST(BalancingPolicy, AColdHostGetsLessThanHalfAShare)
+TEST(BalancingPolicy, ColdHostGetsLessThanTwoThirdsOfItsShare)
 {
   for (auto it : BalancingPolicyNames()) {
-    auto picks = Play(it, [](auto& aHosts) { aHosts[0].mWeight = 0.1; });
+    auto picks = CountPicks(it, [](auto& aHosts) { aHosts[0].mWeight = 0.1; });
     CHECK_TRUE(picks.mCounts[0] < 600);
   }
 }
 
-TEST(BalancingPolicy, LoadMovesOnlyThePoliciesThatLookAtIt)
+TEST(BalancingPolicy, LoadAffectsOnlyPoliciesThatUseIt)
 {
   auto busy = [](auto& aHosts) { aHosts[0].mLoad.mQueued = 10; };
-  CHECK_TRUE(Play("random", busy).mCounts[0] > 800);
-  CHECK_TRUE(Play("two-choices", busy).mCounts[0] < 200);
+  CHECK_TRUE(CountPicks("random", busy).mCounts[0] > 800);
+  CHECK_TRUE(CountPicks("two-choices", busy).mCounts[0] < 200);
   auto slow = [](auto& aHosts) { aHosts[0].mLoad.mLatency = 80ms; };
-  CHECK_TRUE(Play("two-choices", slow).mCounts[0] > 800);
-  CHECK_TRUE(Play("least-latency", slow).mCounts[0] < 300);
+  CHECK_TRUE(CountPicks("two-choices", slow).mCounts[0] > 800);
+  CHECK_TRUE(CountPicks("least-latency", slow).mCounts[0] < 300);
 }
 
-// Figures come round only now and then. A burst between two of them must not
-// land on the one host that was lightest at the last one.
-TEST(BalancingPolicy, ABurstBetweenTwoExchangesIsSpread)
+// Load reports are periodic. A burst between two reports must not go entirely
+// to the host that was least loaded in the last report.
+TEST(BalancingPolicy, BurstBetweenTwoLoadReportsIsSpread)
 {
   std::array<Candidate, 4> hosts;
   for (std::size_t i = 0; i < hosts.size(); ++i) {
--- a/tests/OutlierTest.cpp
+++ b/tests/OutlierTest.cpp
@@ -23,9 +23,10 @@
   return detector;
 }
 
-// 30 rounds of one request a host; hosts up to aBad do aAnswered, aLatency.
-void Play(OutlierDetector& aDetector, std::uint64_t aBad, bool aAnswered,
-          Duration aLatency)
+// 30 rounds of one request per host; hosts up to aBad end with aAnswered after
+// aLatency.
+void RunRounds(OutlierDetector& aDetector, std::uint64_t aBad, bool aAnswered,
+               Duration aLatency)
 {
   for (int round = 0; round < 30; ++round) {
     for (std::uint64_t i = 1; i <= kHosts; ++i) {
@@ -36,67 +37,67 @@
   }
 }
 
-int CountOut(const OutlierDetector& aDetector, Time aNow)
+int CountEjected(const OutlierDetector& aDetector, Time aNow)
 {
-  int out = 0;
+  int ejected = 0;
   for (std::uint64_t i = 1; i <= kHosts; ++i) {
-    out += aDetector.IsOut(HostId{ i }, aNow) ? 1 : 0;
+    ejected += aDetector.IsOut(HostId{ i }, aNow) ? 1 : 0;
   }
-  return out;
+  return ejected;
 }
 
 } // namespace
 
 TEST_GROUP(Outlier){};
 
-// A host answers every request with an error in a millisecond, and its health
-// endpoint says that it is well. It is always the lightest host.
-TEST(Outlier, AHostThatFailsIsHeldOutWhateverItsEndpointSays)
+// A host answers every request with an error within a millisecond, while its
+// health endpoint reports "healthy". It is always the least loaded host.
+TEST(Outlier, FailingHostIsEjectedDespiteHealthyHint)
 {
   for (auto name : { "consecutive", "compared" }) {
     auto detector = MakeWithHosts(name);
     detector->OnHint(HostId{ 1 }, true);
-    Play(*detector, 1, false, 1ms);
+    RunRounds(*detector, 1, false, 1ms);
     CHECK_TRUE(detector->IsOut(HostId{ 1 }, kNow + 300ms));
-    CHECK_EQUAL(1, CountOut(*detector, kNow + 300ms));
+    CHECK_EQUAL(1, CountEjected(*detector, kNow + 300ms));
     CHECK_FALSE(detector->IsOut(HostId{ 1 }, kNow + 3s));
   }
 }
 
-// The other lie: the endpoint says "unhealthy" of a host that answers well.
-// Believed, a flapping endpoint would take hosts out by turns.
-TEST(Outlier, AHostThatAnswersStaysInWhateverItsEndpointSays)
+// The endpoint reports "unhealthy" for a host that answers well. If the report
+// were trusted, a flapping endpoint would eject healthy hosts.
+TEST(Outlier, AnsweringHostIsNotEjectedDespiteUnhealthyHint)
 {
   for (auto name : { "consecutive", "compared" }) {
     auto detector = MakeWithHosts(name);
     detector->OnHint(HostId{ 1 }, false);
-    Play(*detector, 0, true, 20ms);
-    CHECK_EQUAL(0, CountOut(*detector, kNow + 300ms));
+    RunRounds(*detector, 0, true, 20ms);
+    CHECK_EQUAL(0, CountEjected(*detector, kNow + 300ms));
   }
 }
 
-TEST(Outlier, OnlyComparedSeesAHostThatCrawls)
+TEST(Outlier, OnlyComparedDetectorEjectsSlowHost)
 {
   auto consecutive = MakeWithHosts("consecutive");
-  Play(*consecutive, 1, true, 200ms);
-  CHECK_EQUAL(0, CountOut(*consecutive, kNow + 300ms));
+  RunRounds(*consecutive, 1, true, 200ms);
+  CHECK_EQUAL(0, CountEjected(*consecutive, kNow + 300ms));
   auto compared = MakeWithHosts("compared");
-  Play(*compared, 1, true, 200ms);
+  RunRounds(*compared, 1, true, 200ms);
   CHECK_TRUE(compared->IsOut(HostId{ 1 }, kNow + 300ms));
 }
 
-// A database behind all hosts is down, and every one fails. Held out together,
-// the last host would get the load of seven.
-TEST(Outlier, NotMoreThanAThirdIsOutAtOnce)
+// A database used by all hosts is down, and every host fails. If they were
+// ejected together, the last host would get the load of seven.
+TEST(Outlier, AtMostAThirdOfHostsIsEjected)
 {
   for (bool capped : { true, false }) {
     auto detector = MakeWithHosts("consecutive", capped);
-    Play(*detector, kHosts, false, 1ms);
-    CHECK_EQUAL(capped ? 2 : 7, CountOut(*detector, kNow + 300ms));
+    RunRounds(*detector, kHosts, false, 1ms);
+    CHECK_EQUAL(capped ? 2 : 7, CountEjected(*detector, kNow + 300ms));
   }
 }
 
-TEST(Outlier, TheTimeOutDoublesWhileItKeepsFailing)
+TEST(Outlier, EjectionTimeDoublesWhileFailuresContinue)
 {
   auto detector = MakeWithHosts("consecutive");
   Time now = kNow;
@@ -110,7 +111,7 @@
   }
 }
 
-TEST(Outlier, FiguresOfTheAgentCountAsResults)
+TEST(Outlier, LoadReportWithFailuresEjectsHost)
 {
   auto detector = MakeWithHosts("consecutive");
   HostLoad load;
@@ -118,14 +119,14 @@
   load.mResults = 20;
   detector->OnFigures(HostId{ 1 }, load, kNow);
   CHECK_TRUE(detector->IsOut(HostId{ 1 }, kNow));
-  // Held out, it got no work, so its figures stand still: no new evidence.
+  // The ejected host got no work, so its report is unchanged: no new evidence.
   detector->OnFigures(HostId{ 1 }, load, kNow + 3s);
   CHECK_FALSE(detector->IsOut(HostId{ 1 }, kNow + 3s));
 }
 
 TEST_GROUP(SlowStart){};
 
-TEST(SlowStart, AShareGrowsFromATenthToAll)
+TEST(SlowStart, WeightGrowsLinearlyFromATenthToOne)
 {
   auto byTime = MakeSlowStart("time").value();
   DOUBLES_EQUAL(1.0, byTime->Weight(HostId{ 1 }, kNow), 1e-9);
@@ -135,7 +136,7 @@
   DOUBLES_EQUAL(1.0, byTime->Weight(HostId{ 1 }, kNow + 11s), 1e-9);
 }
 
-TEST(SlowStart, ByAnswersAHostNobodyCallsStaysCold)
+TEST(SlowStart, AnswerBasedWeightStaysLowWithoutRequests)
 {
   auto byAnswers = MakeSlowStart("answers").value();
   byAnswers->OnStart(HostId{ 1 }, kNow);
@@ -146,7 +147,7 @@
   DOUBLES_EQUAL(1.0, byAnswers->Weight(HostId{ 1 }, kNow), 1e-9);
 }
 
-TEST(SlowStart, AnUnknownNameSaysWhichThereAre)
+TEST(SlowStart, UnknownNameReturnsError)
 {
   CHECK_FALSE(MakeSlowStart("fast").has_value());
   CHECK_FALSE(MakeOutlierDetector("guess").has_value());
--- a/tests/RetryTest.cpp
+++ b/tests/RetryTest.cpp
@@ -6,39 +6,46 @@
 
 TEST_GROUP(Retry){};
 
-// A claim was sent and its host lost. Tried elsewhere it could be lodged twice;
-// told "not run" its owner would lodge it again.
-TEST(Retry, OnlyWhatCertainlyDidNotRunIsTriedAgainOrDenied)
+// A claim was sent, and its host was lost. Retried on another host, the claim
+// could be lodged twice; reported as "not run", its owner would lodge it again.
+TEST(Retry, PossiblyExecutedRequestIsRetriedOnlyIfRepeatable)
 {
   struct Case
   {
     AttemptEnd mEnd;
     bool mNeverRepeat;
     RetryPlace mPlace;
-    Truth mTruth;
+    ExecutionStatus mStatus;
   };
   const Case cases[] = {
-    { AttemptEnd::ConnectFailed, true, RetryPlace::OtherHost, Truth::NotRun },
-    { AttemptEnd::Shed, true, RetryPlace::OtherHost, Truth::NotRun },
-    { AttemptEnd::Draining, true, RetryPlace::OtherHost, Truth::NotRun },
+    { AttemptEnd::ConnectFailed, true, RetryPlace::OtherHost,
+      ExecutionStatus::NotRun },
+    { AttemptEnd::Shed, true, RetryPlace::OtherHost, ExecutionStatus::NotRun },
+    { AttemptEnd::Draining, true, RetryPlace::OtherHost,
+      ExecutionStatus::NotRun },
     { AttemptEnd::RefusedByAdmission, false, RetryPlace::Nowhere,
-      Truth::NotRun },
-    { AttemptEnd::PlatformDown, true, RetryPlace::Nowhere, Truth::NotRun },
-    { AttemptEnd::LostAfterSend, true, RetryPlace::Nowhere, Truth::Unknown },
-    { AttemptEnd::LostAfterSend, false, RetryPlace::OtherHost, Truth::Unknown },
-    { AttemptEnd::TimedOut, true, RetryPlace::Nowhere, Truth::Unknown },
-    { AttemptEnd::TimedOut, false, RetryPlace::Nowhere, Truth::Unknown },
+      ExecutionStatus::NotRun },
+    { AttemptEnd::PlatformDown, true, RetryPlace::Nowhere,
+      ExecutionStatus::NotRun },
+    { AttemptEnd::LostAfterSend, true, RetryPlace::Nowhere,
+      ExecutionStatus::Unknown },
+    { AttemptEnd::LostAfterSend, false, RetryPlace::OtherHost,
+      ExecutionStatus::Unknown },
+    { AttemptEnd::TimedOut, true, RetryPlace::Nowhere,
+      ExecutionStatus::Unknown },
+    { AttemptEnd::TimedOut, false, RetryPlace::Nowhere,
+      ExecutionStatus::Unknown },
   };
   for (const auto& it : cases) {
     const auto advice = AdviseRetry(it.mEnd, it.mNeverRepeat);
     CHECK_TRUE(advice.mPlace == it.mPlace);
-    CHECK_TRUE(advice.mTruth == it.mTruth);
+    CHECK_TRUE(advice.mStatus == it.mStatus);
   }
 }
 
-// A host stumbles and every request fails. Retried each time, the others get
-// twice the load and stumble as well.
-TEST(Retry, ABudgetKeepsRetriesToATenthOfTheLoad)
+// A host fails every request for a moment. Without a budget, the retries double
+// the load of the other hosts, which then fail as well.
+TEST(Retry, BudgetLimitsRetriesToATenthOfTheLoad)
 {
   for (bool on : { true, false }) {
     RetryBudget budget(on);
@@ -51,7 +58,7 @@
   }
 }
 
-TEST(Retry, EveryReasonHasItsName)
+TEST(Retry, EveryReasonHasAName)
 {
   for (std::size_t i = 0; i < kRefusalReasons; ++i) {
     CHECK_TRUE(ToString(static_cast<RefusalReason>(i)) != "unknown");
--- a/tests/ShiftLimiterTest.cpp
+++ b/tests/ShiftLimiterTest.cpp
@@ -12,28 +12,29 @@
 
 namespace {
 
-// Two hosts alike; work goes by the inverse square of latencies, which grow
-// with the work and are seen 300 ms late. How far from even the share of one
-// host still swings in the last ten of twenty seconds.
-double Swing(double aFactorPerSecond)
+// Two equal hosts; work is distributed by the inverse square of latencies,
+// which grow with the work and are observed 300 ms late. Returns the largest
+// deviation of one host's share from one half in the last ten of twenty
+// seconds.
+double SimulateSwing(double aFactorPerSecond)
 {
   ShiftLimiter limiter(aFactorPerSecond);
   const HostId first{ 1 };
   const HostId second{ 2 };
-  std::deque<double> seen(3, 0.6);
+  std::deque<double> delayed(3, 0.6);
   double swing = 0;
   for (int step = 0; step < 200; ++step) {
     const Time now = Time{} + 1h + step * 100ms;
-    const double late = seen.front();
-    seen.pop_front();
-    const double best = std::min(late, 1 - late);
-    const double toFirst = best / late * (best / late);
-    const double toSecond = best / (1 - late) * (best / (1 - late));
+    const double observed = delayed.front();
+    delayed.pop_front();
+    const double best = std::min(observed, 1 - observed);
+    const double toFirst = best / observed * (best / observed);
+    const double toSecond = best / (1 - observed) * (best / (1 - observed));
     const double a = limiter.Move(first, std::max(0.05, toFirst), now);
     const double b = limiter.Move(second, std::max(0.05, toSecond), now);
-    seen.push_back(a / (a + b));
+    delayed.push_back(a / (a + b));
     if (step >= 100) {
-      swing = std::max(swing, std::abs(seen.back() - 0.5));
+      swing = std::max(swing, std::abs(delayed.back() - 0.5));
     }
   }
   return swing;
@@ -43,16 +44,16 @@
 
 TEST_GROUP(ShiftLimiter){};
 
-// Every chooser sends its work to the host that was faster a moment ago. That
-// host slows down, and all turn to the other one, further each time: clients
-// see fast and slow spells by turns while the load itself is even.
-TEST(ShiftLimiter, LateFiguresDoNotMakeTheLoadSwing)
+// Every balancer sends its work to the host that was faster a moment ago. That
+// host slows down, and all switch to the other one, with growing amplitude:
+// clients see alternating fast and slow periods under an even load.
+TEST(ShiftLimiter, DelayedReportsDoNotCauseLoadOscillation)
 {
-  CHECK_TRUE(Swing(2.0) < 0.15);
-  CHECK_TRUE(Swing(1e9) > 0.4);
+  CHECK_TRUE(SimulateSwing(2.0) < 0.15);
+  CHECK_TRUE(SimulateSwing(1e9) > 0.4);
 }
 
-TEST(ShiftLimiter, AShareDoublesInASecondAtMost)
+TEST(ShiftLimiter, ShareChangesAtMostByAFactorOfTwoPerSecond)
 {
   ShiftLimiter limiter;
   const HostId host{ 1 };
