--- a/src/decide/ClassState.h
+++ b/src/decide/ClassState.h
@@ -98,9 +98,9 @@
   FairQueue mQueue;
   ServiceTimes mServiceTimes;
   ReturnPlanner mReturnPlanner;
-  /** Over one second (about twenty answers of typical services), for work that
-   * waits less than that; over ten seconds for deferrable work, which may wait
-   * through a burst.
+  /** Slot use over one second (about twenty answers of typical services), for
+   * work that waits less than that, and over ten seconds, for deferrable work,
+   * which may wait through a burst.
    */
   SlotUse mRecentUse{ 1.0 };
   SlotUse mLongTermUse{ 10.0 };
--- a/src/decide/ForwardPlanner.h
+++ b/src/decide/ForwardPlanner.h
@@ -18,13 +18,12 @@
  * busy flows make a queue on one host while other hosts idle; without
  * forwarding, their requests wait or are refused although slots are free.
  *
- * Forwarding by load reports that are stale by one exchange has a failure of
- * its own: hosts pass the same request back and forth, or all forward to the
- * one idle host. Hence a request is forwarded only once, and only for a gain of
- * at least two requests per slot (a smaller difference disappears before the
- * request arrives). In one exchange, a host forwards half of the difference,
- * divided by the number of hosts that may do the same. Load reports older than
- * a second are ignored.
+ * Since load reports are stale by one exchange, hosts could pass the same
+ * request back and forth, or all forward to the one idle host. Hence a request
+ * is forwarded only once, and only for a gain of at least two requests per slot
+ * (a smaller difference disappears before the request arrives). In one
+ * exchange, a host forwards half of the difference, divided by the number of
+ * hosts that may do the same. Load reports older than a second are ignored.
  *
  * Not thread safe.
  */
--- a/src/decide/HostLoad.h
+++ b/src/decide/HostLoad.h
@@ -27,8 +27,8 @@
   /** Moving share (0 to 1) of dispatched requests that failed or timed out. A
    * host that fails fast has short queues; by load alone it would look best. */
   double mFailing = 0;
-  /** Number of results that these values were computed from; an unchanged
-   * number means that the values are unchanged. */
+  /** Cumulative number of results that these values were computed from; an
+   * unchanged number means that the values are unchanged. */
   std::uint64_t mResults = 0;
   /** Age of the values at the time they are read. */
   Duration mAge{};
