--- a/src/agent/Agent.cpp
+++ b/src/agent/Agent.cpp
@@ -8,14 +8,14 @@
 #include <utility>
 
 #include "src/agent/ConfigFeed.h"
-#include "src/agent/FlowFront.h"
+#include "src/agent/FlowHandler.h"
 #include "src/agent/MemberFeed.h"
-#include "src/agent/Outliers.h"
+#include "src/agent/OutlierTracker.h"
 #include "src/agent/PeerLoads.h"
 #include "src/agent/PolicyMeter.h"
 #include "src/agent/RequestPipeline.h"
 #include "src/agent/RunOnceRecorder.h"
-#include "src/agent/SlowStarts.h"
+#include "src/agent/SlowStartTracker.h"
 #include "src/base/Log.h"
 #include "src/metrics/Metrics.h"
 #include "src/net/CutList.h"
@@ -34,20 +34,20 @@
 
 namespace {
 
-constexpr auto kOwnershipTick = std::chrono::milliseconds(25);
-constexpr auto kPipelineTick = std::chrono::milliseconds(5);
-constexpr auto kConfigTick = std::chrono::milliseconds(100);
-constexpr auto kMembersTick = std::chrono::milliseconds(50);
-constexpr auto kLinksTick = std::chrono::seconds(1);
-constexpr auto kStatusPeriod = std::chrono::seconds(1);
-/** Five figures a second keep a choice among loads well within the second that
- * picks count for at most. */
-constexpr auto kLoadPeriod = std::chrono::milliseconds(200);
-/** Most hosts that load is told in a turn: at 96 bytes a datagram that is
- * 7.7 KB a second, whatever the size of the service. */
-constexpr std::size_t kLoadFanOut = 16;
-/** Connections to the backend server beyond its slots, for what was given up
- * and is still closing. */
+constexpr auto kOwnershipTickInterval = std::chrono::milliseconds(25);
+constexpr auto kPipelineTickInterval = std::chrono::milliseconds(5);
+constexpr auto kConfigTickInterval = std::chrono::milliseconds(100);
+constexpr auto kMembersTickInterval = std::chrono::milliseconds(50);
+constexpr auto kLinksTickInterval = std::chrono::seconds(1);
+constexpr auto kStatusInterval = std::chrono::seconds(1);
+/** Well below the second for which PickLedger counts a pick: a newer load
+ * report replaces the pick in time. */
+constexpr auto kLoadInterval = std::chrono::milliseconds(200);
+/** Recipients of one load report. At 96 bytes a datagram this bounds the
+ * traffic to 7.7 KB/s, independent of the size of the service. */
+constexpr std::size_t kMaxLoadRecipients = 16;
+/** Connections to the backend server beyond its slots, since the connections of
+ * cancelled requests take time to close. */
 constexpr std::size_t kSpareConnections = 2;
 
 Member MakeSelf(const AgentSettings& aSettings)
@@ -64,8 +64,9 @@
   return self;
 }
 
-/** A shard of grants has one call at a time: one that hangs for longer than
- * this would use up the deadlines of all claims behind it. */
+/** A grant shard has one store call in flight at a time. A call that hangs for
+ * longer than this timeout would exhaust the deadlines of all
+ * requests queued behind it. */
 HttpObjectStore::Options StoreOptions()
 {
   HttpObjectStore::Options options;
@@ -115,15 +116,15 @@
   PeerLoads mLoads;
   PolicyMeter mMeter{ mClock };
   StatusSender mStatus{ mSettings, "agent" };
-  SlowStarts mSlowStarts;
-  Outliers mOutliers;
+  SlowStartTracker mSlowStarts;
+  OutlierTracker mOutliers;
   AdminServer mAdmin;
   std::mt19937_64 mRandom;
   std::shared_ptr<DatagramSocket> mTunnel;
   std::shared_ptr<ObjectStore> mStore;
   std::unique_ptr<BackendClient> mBackend;
   std::unique_ptr<RunOnceRecorder> mGrants;
-  std::unique_ptr<FlowFront> mFront;
+  std::unique_ptr<FlowHandler> mFlows;
   std::unique_ptr<RequestPipeline> mPipeline;
   std::mutex mViewLock;
   ServiceViewPtr mView;
@@ -144,10 +145,12 @@
     }
     if (!mConfig.Current()) {
       return Fail(ErrorKind::Unavailable, "no configuration yet",
-                  "apply one, or look at the platform and the balancers");
+                  "apply a configuration, or check the platform and the "
+                  "balancers");
     }
     if (!mMembers.IsInView()) {
-      return Fail(ErrorKind::Unavailable, "no balancer has taken this host in",
+      return Fail(ErrorKind::Unavailable,
+                  "no balancer lists this host as a member",
                   "check the inventory and the balancers' addresses");
     }
     return {};
@@ -173,7 +176,7 @@
 
   void Start()
   {
-    MakeParts();
+    CreateComponents();
     mTunnel->Start([this](ByteView aDatagram, const Address& aFrom) {
       OnDatagram(aDatagram, aFrom);
     });
@@ -186,25 +189,25 @@
                { "admin", mSettings.mAdmin.ToString() } });
   }
 
-  void MakeParts()
+  void CreateComponents()
   {
     mBackend =
       std::make_unique<BackendClient>(mRuntime.Executor(), mSettings.mBackend,
                                       mSettings.mSlots + kSpareConnections);
-    FlowFront::Options options;
+    FlowHandler::Options options;
     options.mSelf = mSelf;
     options.mServiceName = mSettings.mService;
     options.mMaxFlows = mSettings.mMaxFlows;
     options.mMaxAnswerBytes = mSettings.mMaxAnswerBytes;
-    mFront = std::make_unique<FlowFront>(
-      FlowFront::Parts{ mClock, mMetrics, *mTunnel,
-                        [this](const Member& aMember, Time aNow) {
-                          return Observe(aMember, aNow);
-                        },
-                        [this](const Address& aTo, const Bytes& aPayload) {
-                          mLinks.Send(aTo, MessageKind::HandOff, aPayload);
-                        },
-                        mMeter },
+    mFlows = std::make_unique<FlowHandler>(
+      FlowHandler::Parts{ mClock, mMetrics, *mTunnel,
+                          [this](const Member& aMember, Time aNow) {
+                            return MakeCandidate(aMember, aNow);
+                          },
+                          [this](const Address& aTo, const Bytes& aPayload) {
+                            mLinks.Send(aTo, MessageKind::HandOff, aPayload);
+                          },
+                          mMeter },
       options);
     mStore = std::make_shared<HttpObjectStore>(
       mRuntime.Executor(), mSettings.mPlatform, StoreOptions());
@@ -216,29 +219,29 @@
                               [this] { return View(); } },
       mSelf, recording);
     mPipeline = std::make_unique<RequestPipeline>(
-      RequestPipeline::Parts{ mClock, mMetrics, *mBackend, *mGrants, *mFront },
+      RequestPipeline::Parts{ mClock, mMetrics, *mBackend, *mGrants, *mFlows },
       mSettings.mName, mSettings.mSlots);
-    mFront->SetPipeline(*mPipeline);
+    mFlows->SetPipeline(*mPipeline);
   }
 
   void StartTimers()
   {
-    mRuntime.Every(kMembersTick, [this] { mMembers.Tick(); });
-    mRuntime.Every(kLinksTick, [this] { mLinks.Tick(); });
-    mRuntime.Every(kOwnershipTick, [this] {
-      mFront->Tick();
+    mRuntime.Every(kMembersTickInterval, [this] { mMembers.Tick(); });
+    mRuntime.Every(kLinksTickInterval, [this] { mLinks.Tick(); });
+    mRuntime.Every(kOwnershipTickInterval, [this] {
+      mFlows->Tick();
       AdvanceStop();
     });
-    mRuntime.Every(kPipelineTick, [this] {
+    mRuntime.Every(kPipelineTickInterval, [this] {
       mPipeline->Tick();
       mGrants->Tick();
     });
-    mRuntime.Every(kConfigTick, [this] {
+    mRuntime.Every(kConfigTickInterval, [this] {
       mConfig.SetBalancers(mMembers.Balancers());
       mConfig.Tick();
     });
-    mRuntime.Every(kLoadPeriod, [this] { TellLoad(); });
-    mRuntime.Every(kStatusPeriod, [this] { TellStatus(); });
+    mRuntime.Every(kLoadInterval, [this] { SendLoad(); });
+    mRuntime.Every(kStatusInterval, [this] { SendStatus(); });
   }
 
   void OnConfiguration(const Configuration& aConfiguration)
@@ -254,7 +257,7 @@
     }
     mMeter.SetPolicy(aConfiguration.mPolicy.mName);
     mStatus.OnInForce(aConfiguration.mVersion, mClock.Now());
-    mFront->SetService(*service, aConfiguration.mPolicy.mName);
+    mFlows->SetService(*service, aConfiguration.mPolicy.mName);
     mPipeline->SetService(*service);
     mMembers.Announce();
     const auto& drained = aConfiguration.mDrainedHosts;
@@ -272,8 +275,8 @@
       std::lock_guard lock(mViewLock);
       mView = aView;
     }
-    if (mFront) {
-      mFront->OnView(aView, aConfirmedAt);
+    if (mFlows) {
+      mFlows->OnView(aView, aConfirmedAt);
       mGrants->OnView(*aView);
     }
   }
@@ -284,7 +287,7 @@
     return mView;
   }
 
-  Candidate Observe(const Member& aMember, Time aNow)
+  Candidate MakeCandidate(const Member& aMember, Time aNow)
   {
     Candidate candidate;
     candidate.mHost = aMember.mHost;
@@ -314,7 +317,7 @@
       }
       return;
     }
-    if (!mFront->OnDatagram(*frame) && !mGrants->OnDatagram(*frame, aFrom)) {
+    if (!mFlows->OnDatagram(*frame) && !mGrants->OnDatagram(*frame, aFrom)) {
       mMalformed.Add();
     }
   }
@@ -322,7 +325,7 @@
   void OnFrame(const Hello& aFrom, const Frame& aFrame)
   {
     if (aFrame.mKind == MessageKind::HandOff) {
-      mFront->OnHandOffFrame(aFrame.mPayload);
+      mFlows->OnHandOffFrame(aFrame.mPayload);
     } else if (mGrants->OnFrame(aFrame)) {
       return;
     } else if (IsMembership(aFrame.mKind)) {
@@ -332,7 +335,7 @@
     }
   }
 
-  void TellLoad()
+  void SendLoad()
   {
     ServiceViewPtr view = View();
     if (!view) {
@@ -351,23 +354,24 @@
     for (const auto& it : view->Members()) {
       if (it.mHost != mSelf.mHost && CanAdopt(it)) {
         others.push_back(it);
-        peers.push_back(Observe(it, now));
+        peers.push_back(MakeCandidate(it, now));
       }
     }
     std::shuffle(others.begin(), others.end(), mRandom);
-    others.resize(std::min(others.size(), kLoadFanOut));
+    others.resize(std::min(others.size(), kMaxLoadRecipients));
     for (const auto& it : others) {
       mTunnel->Send(datagram, it.mTunnel);
     }
     mLoads.Retain(view->Members());
     mPipeline->SetPeers(peers);
-    peers.push_back(Observe(mSelf, now));
+    peers.push_back(MakeCandidate(mSelf, now));
     mMeter.OnLoads(peers);
   }
 
-  /** Tells the balancer that keeps this process's status what it runs and how
-   * the policy fares here. What can't be told now is counted on. */
-  void TellStatus()
+  /** Reports the running version and the policy's figures to the balancer that
+   * stores this process's status. Figures that can't be sent now accumulate
+   * into the next report. */
+  void SendStatus()
   {
     mStatus.Add(mMeter.Take());
     if (auto due = mStatus.Tick(mMembers.Balancers(), mClock.Now())) {
@@ -376,12 +380,12 @@
     }
   }
 
-  /** Takes no new flow from now on, and hands over those it has. */
+  /** Stops adopting flows and hands off those that this host owns. */
   void Drain()
   {
     mDraining = true;
     mMembers.SetState(HostState::Draining);
-    mFront->Drain();
+    mFlows->Drain();
     mPipeline->Drain();
   }
 
@@ -392,9 +396,9 @@
     mStopping = true;
   }
 
-  /** Some other host may take this one's flows. If the whole service stops
-   * there is none, and waiting would only slow the stop down. */
-  bool CanHandOver()
+  /** True if another host can adopt this host's flows. When the whole service
+   * stops there is no such host, and waiting would only delay the stop. */
+  bool CanHandOff()
   {
     ServiceViewPtr view = View();
     if (!view) {
@@ -406,22 +410,23 @@
     });
   }
 
-  /** A planned stop: first nothing may be left here, then this host forwards
-   * for as long as others may still send packets to it. */
+  /** Advances a planned stop. The host first waits until it has no requests or
+   * flows left, or until the drain timeout. It then only forwards packets, for
+   * as long as other processes may still send packets to it. */
   void AdvanceStop()
   {
     if (!mStopping) {
       return;
     }
     Time now = mClock.Now();
-    bool empty =
-      mPipeline->Active() == 0 && (mFront->FlowCount() == 0 || !CanHandOver());
-    bool late =
+    bool drained =
+      mPipeline->Active() == 0 && (mFlows->FlowCount() == 0 || !CanHandOff());
+    bool timedOut =
       now - mStopBegan >= std::chrono::milliseconds(mSettings.mDrainTimeoutMs);
     if (mLeavingSince == Time{}) {
-      if (empty || late) {
+      if (drained || timedOut) {
         LogEvent(LogLevel::Info, "drained",
-                 { { "flows_left", mFront->FlowCount() },
+                 { { "flows_left", mFlows->FlowCount() },
                    { "requests_left", mPipeline->Active() } });
         mLeavingSince = now;
         mMembers.SetState(HostState::Leaving);
--- a/src/agent/Agent.h
+++ b/src/agent/Agent.h
@@ -7,19 +7,20 @@
 
 namespace heatherplank {
 
-/** An agent process: its sockets, timers and parts, and how they are joined.
- * Decisions are made elsewhere: Ownership, AdmissionPolicy, RunOnce.
+/** An agent process: creates its sockets, timers and components, and connects
+ * them. The decisions are made in Ownership, AdmissionPolicy and RunOnce.
  */
 class Agent
 {
 public:
-  /** Opens every port; System with the remedy if one can't be had. */
+  /** Opens all ports. Fails with ErrorKind::System, which names the remedy, if
+   * a port is unavailable. */
   static Result<std::unique_ptr<Agent>> Make(const AgentSettings& aSettings,
                                              bool aFaultInjection);
 
   ~Agent();
 
-  /** Runs until a planned stop has ended. */
+  /** Blocks until a planned stop has completed. */
   void Run();
 
 private:
--- a/src/agent/AnswerStore.cpp
+++ b/src/agent/AnswerStore.cpp
@@ -10,8 +10,8 @@
 
 namespace {
 
-/** Maps, list and header fields around an entry's strings, roughly. */
-constexpr std::size_t kEntryOverhead = 400;
+/** Estimated bytes an entry uses in maps, list and header fields. */
+constexpr std::size_t kEntryOverheadBytes = 400;
 
 } // namespace
 
@@ -28,7 +28,7 @@
 std::size_t AnswerStore::Size(const Entry& aEntry)
 {
   std::size_t body = aEntry.mAnswer ? aEntry.mAnswer->mBody.size() : 0;
-  return kEntryOverhead + aEntry.mRequestId.size() + body;
+  return kEntryOverheadBytes + aEntry.mRequestId.size() + body;
 }
 
 RequestState AnswerStore::Begin(const FlowKey& aFlow,
@@ -62,7 +62,7 @@
   entry.mAnsweredAt = aNow;
   mBytes += Size(entry);
   mByAge.push_back(entry);
-  MakeRoom();
+  EvictOldest();
 }
 
 void AnswerStore::Release(const FlowKey& aFlow, const std::string& aRequestId)
@@ -125,7 +125,7 @@
   if (aBytes.empty()) {
     return {};
   }
-  auto read = ReadRoot<wire::KeptAnswers>(aBytes, "kept answers");
+  auto read = ReadRoot<wire::KeptAnswers>(aBytes, "retained answers");
   if (!read) {
     return tl::unexpected(read.error());
   }
@@ -156,18 +156,18 @@
     }
   }
   for (Entry* it : answered) {
-    Drop(*it);
+    Erase(*it);
   }
 }
 
 void AnswerStore::Expire(Time aNow)
 {
   while (!mByAge.empty() && mByAge.front().mAnsweredAt + kRetention <= aNow) {
-    Drop(mByAge.front());
+    Erase(mByAge.front());
   }
 }
 
-void AnswerStore::Drop(Entry& aEntry)
+void AnswerStore::Erase(Entry& aEntry)
 {
   mBytes -= Size(aEntry);
   mByAge.erase(mByAge.iterator_to(aEntry));
@@ -178,12 +178,12 @@
   }
 }
 
-void AnswerStore::MakeRoom()
+void AnswerStore::EvictOldest()
 {
-  // The newest answer stays, whatever its size: its caller has not had it.
+  // The newest answer stays, whatever its size: it has not been sent yet.
   while (mBytes > mMaxBytes && !mByAge.empty() &&
          &mByAge.front() != &mByAge.back()) {
-    Drop(mByAge.front());
+    Erase(mByAge.front());
   }
 }
 
--- a/src/agent/AnswerStore.h
+++ b/src/agent/AnswerStore.h
@@ -16,64 +16,66 @@
 
 namespace heatherplank {
 
-/** What the store knows of a request. */
+/** State of a request in the store. */
 enum class RequestState : std::uint8_t
 {
-  /** Never seen, or forgotten. */
+  /** Not in the store: never seen, expired or evicted. */
   New,
-  /** In progress here; a copy of it waits for the same answer. */
+  /** In progress here; its answer also serves copies of it. */
   InProgress,
-  /** Answered; the answer is kept. */
+  /** Answered; the answer is retained. */
   Answered,
 };
 
-/** The requests of flows that this host owns: which are in progress, and the
- * answers of the last ones, so that a datagram sent again is answered again
- * and never run again. Bounded by time and bytes; the oldest answers go first.
- * Not thread safe: one instance a shard, under the shard's lock.
+/** The requests of this host's flows: those in progress, and recent answers, so
+ * that a retransmitted datagram gets the same answer and does not run again.
+ * Bounded by time and bytes; the oldest answers are evicted first. Not thread
+ * safe: one instance per shard, under the shard's lock.
  */
 class AnswerStore
 {
 public:
-  /** How long an answer is kept after it was given: longer than any caller
-   * goes on asking for missing ranges. */
+  /** How long an answer is retained: longer than any caller requests missing
+   * ranges. */
   static constexpr Duration kRetention = std::chrono::seconds(30);
 
-  /** aMaxBytes bounds the bodies and keys that are kept. */
+  /** aMaxBytes bounds the bodies, ids and overhead of the entries. */
   explicit AnswerStore(std::size_t aMaxBytes);
   ~AnswerStore();
 
-  /** Notes a request as in progress if it is new, and tells what it was. */
+  /** Records a new request as in progress. Returns its state before the call.
+   */
   RequestState Begin(const FlowKey& aFlow, const std::string& aRequestId);
 
-  /** Keeps the answer of a request. */
+  /** Stores the answer of a request, unless it has one already. */
   void Finish(const FlowKey& aFlow, const std::string& aRequestId,
               Answer aAnswer, Time aNow);
 
-  /** Forgets a request in progress that another host runs now. */
+  /** Removes a request in progress that was forwarded to another host. */
   void Release(const FlowKey& aFlow, const std::string& aRequestId);
 
-  /** The kept answer of a request, or null; valid until the next call that
+  /** The retained answer of a request, or null; valid until the next call that
    * changes the store. */
   const Answer* Find(const FlowKey& aFlow, const std::string& aRequestId) const;
 
-  /** Requests of a flow that are in progress. */
+  /** Number of a flow's requests that are in progress. */
   std::size_t InProgress(const FlowKey& aFlow) const;
 
-  /** The flow's kept answers for its next owner. */
+  /** Encodes the flow's retained answers for its next owner. */
   Bytes Export(const FlowKey& aFlow) const;
 
-  /** Takes over a flow's answers; Malformed if the bytes are not such. What
-   * is known here already stays. */
+  /** Adds the answers from Export. Answers stored here already stay. Fails with
+   * ErrorKind::Malformed if aBytes can't be decoded. */
   Result<void> Import(const FlowKey& aFlow, ByteView aBytes, Time aNow);
 
-  /** Forgets a flow, but for requests in progress. */
+  /** Removes a flow's answers; requests in progress stay. */
   void Forget(const FlowKey& aFlow);
 
-  /** Drops answers past their retention. */
+  /** Removes answers older than kRetention. */
   void Expire(Time aNow);
 
-  std::size_t BytesKept() const { return mBytes; }
+  /** Estimated size of all entries. */
+  std::size_t RetainedBytes() const { return mBytes; }
 
 private:
   struct Entry : boost::intrusive::list_base_hook<>
@@ -93,8 +95,8 @@
 
   static std::size_t Size(const Entry& aEntry);
 
-  void Drop(Entry& aEntry);
-  void MakeRoom();
+  void Erase(Entry& aEntry);
+  void EvictOldest();
 
   std::size_t mMaxBytes;
   std::size_t mBytes = 0;
--- a/src/agent/BackendClient.cpp
+++ b/src/agent/BackendClient.cpp
@@ -11,22 +11,22 @@
 using std::chrono::duration_cast;
 using std::chrono::milliseconds;
 
-/** When a backend server sheds load and does not say for how long. */
+/** Used when a backend server sheds load without a valid Retry-After. */
 constexpr auto kDefaultRetryAfter = std::chrono::seconds(1);
-constexpr int kLongestRetryAfterSeconds = 300;
+constexpr int kMaxRetryAfterSeconds = 300;
 
-std::string Text(boost::beast::string_view aText)
+std::string ToString(boost::beast::string_view aText)
 {
   return { aText.data(), aText.size() };
 }
 
-/** Milliseconds since the Unix epoch: the backend server reads the same
- * clock, since it runs on the same VM. */
-std::string WallClockAfter(Duration aTimeout)
+/** Milliseconds since the Unix epoch. The backend server reads the same clock,
+ * since it runs on the same VM. */
+std::string FormatDeadline(Duration aTimeout)
 {
-  auto at = std::chrono::system_clock::now() + aTimeout;
+  auto deadline = std::chrono::system_clock::now() + aTimeout;
   return std::to_string(
-    duration_cast<milliseconds>(at.time_since_epoch()).count());
+    duration_cast<milliseconds>(deadline.time_since_epoch()).count());
 }
 
 HttpRequest MakeRequest(const CallerRequest& aFrom, Duration aTimeout)
@@ -43,21 +43,21 @@
   if (!aFrom.mContentType.empty()) {
     request.set(http::field::content_type, aFrom.mContentType);
   }
-  request.set("Request-Deadline", WallClockAfter(aTimeout));
+  request.set("Request-Deadline", FormatDeadline(aTimeout));
   request.body() = aFrom.mBody;
   return request;
 }
 
 Duration ReadRetryAfter(const HttpResponse& aResponse)
 {
-  std::string text = Text(aResponse[http::field::retry_after]);
+  std::string text = ToString(aResponse[http::field::retry_after]);
   int seconds = 0;
   auto [end, ec] =
     std::from_chars(text.data(), text.data() + text.size(), seconds);
-  bool good =
-    ec == std::errc() && seconds > 0 && seconds <= kLongestRetryAfterSeconds;
-  return good ? Duration(std::chrono::seconds(seconds))
-              : Duration(kDefaultRetryAfter);
+  bool valid =
+    ec == std::errc() && seconds > 0 && seconds <= kMaxRetryAfterSeconds;
+  return valid ? Duration(std::chrono::seconds(seconds))
+               : Duration(kDefaultRetryAfter);
 }
 
 BackendAnswer FromResponse(const HttpResponse& aResponse)
@@ -69,7 +69,7 @@
   BackendAnswer out;
   out.mResult = BackendResult::Answered;
   out.mAnswer.mStatus = aResponse.result_int();
-  out.mAnswer.mContentType = Text(aResponse[http::field::content_type]);
+  out.mAnswer.mContentType = ToString(aResponse[http::field::content_type]);
   out.mAnswer.mBody = aResponse.body();
   return out;
 }
--- a/src/agent/BackendClient.h
+++ b/src/agent/BackendClient.h
@@ -15,20 +15,20 @@
 
 class HttpClient;
 
-/** What the backend server made of a request. */
+/** Result of sending a request to the backend server. */
 enum class BackendResult : std::uint8_t
 {
-  /** It answered. */
+  /** The backend server answered. */
   Answered,
-  /** It refused, and says that it did not run the request. */
+  /** The backend server refused the request and reports that it did not run. */
   Refused,
-  /** It could not be reached; the request was never written. */
+  /** The backend server was unreachable; the request was never written. */
   NotSent,
-  /** The request was written, and no answer came. */
+  /** The request was written and no answer arrived. */
   Lost,
 };
 
-/** A result with the answer that goes to the caller. */
+/** A result with the answer to send to the caller. */
 struct BackendAnswer
 {
   BackendResult mResult = BackendResult::Lost;
@@ -42,20 +42,20 @@
   using Done = std::function<void(BackendAnswer)>;
   using Ticket = std::uint64_t;
 
-  /** aConnections: requests at once, the host's slots and some for a backend
-   * server that takes more while it finishes. */
+  /** aConnections: limit of concurrent requests; the host's slots and some
+   * spare ones for requests that the backend server is still finishing. */
   BackendClient(const boost::asio::any_io_executor& aExecutor,
                 const Address& aBackend, std::size_t aConnections);
   ~BackendClient();
 
   /** Sends a request that must be answered within aTimeout; aDone runs once.
-   * The deadline goes with it, so that a backend server which takes it late
-   * (this process was paused in between) does not run it.
+   * The request carries its deadline, so that a backend server that receives it
+   * late (this process was paused in between) does not run it.
    */
   Ticket Send(const CallerRequest& aRequest, Duration aTimeout, Done aDone);
 
-  /** Gives a request up: the connection closes, which the backend server takes
-   * as a cancellation. aDone of it gets Lost, or NotSent. */
+  /** Cancels a request by closing its connection, which the backend server
+   * treats as a cancellation. Its aDone gets Lost or NotSent. */
   void Cancel(Ticket aTicket);
 
 private:
--- a/src/agent/ConfigFeed.cpp
+++ b/src/agent/ConfigFeed.cpp
@@ -20,13 +20,13 @@
 {
   for (const auto& it : aSeeds) {
     HostId id = MakeHostId(it.ToString());
-    mAddresses[id] = it;
+    mBalancerAddresses[id] = it;
     mConfiguration.OnConnected(id, mParts.mClock.Now());
   }
 }
 
 template<typename Change>
-void ConfigFeed::Do(const Change& aChange)
+void ConfigFeed::Apply(const Change& aChange)
 {
   std::vector<std::pair<Address, ConfigMessage>> sends;
   std::vector<ConfigurationPtr> changes;
@@ -35,7 +35,8 @@
     aChange(mParts.mClock.Now());
     for (auto& it : mConfiguration.TakeActions()) {
       if (auto* send = std::get_if<ConfigSend>(&it)) {
-        sends.emplace_back(mAddresses[send->mTo], std::move(send->mMessage));
+        sends.emplace_back(mBalancerAddresses[send->mTo],
+                           std::move(send->mMessage));
       } else if (auto* change = std::get_if<ConfigInForce>(&it)) {
         changes.push_back(std::move(change->mConfiguration));
       }
@@ -55,16 +56,16 @@
 
 bool ConfigFeed::IsKnown(const Address& aControl) const
 {
-  return std::any_of(mAddresses.begin(), mAddresses.end(),
+  return std::any_of(mBalancerAddresses.begin(), mBalancerAddresses.end(),
                      [&](const auto& aIt) { return aIt.second == aControl; });
 }
 
 void ConfigFeed::SetBalancers(std::span<const Member> aBalancers)
 {
-  Do([&](Time aNow) {
+  Apply([&](Time aNow) {
     for (const auto& it : aBalancers) {
       if (!IsKnown(it.mControl)) {
-        mAddresses[it.mHost] = it.mControl;
+        mBalancerAddresses[it.mHost] = it.mControl;
         mConfiguration.OnConnected(it.mHost, aNow);
       }
     }
@@ -85,15 +86,15 @@
       .Add();
     return;
   }
-  Do([&](Time aNow) {
-    mAddresses[aFrom.mHost] = aFrom.mControl;
+  Apply([&](Time aNow) {
+    mBalancerAddresses[aFrom.mHost] = aFrom.mControl;
     mConfiguration.OnMessage(aFrom.mHost, *message, aNow);
   });
 }
 
 void ConfigFeed::Tick()
 {
-  Do([&](Time aNow) { mConfiguration.Tick(aNow); });
+  Apply([&](Time aNow) { mConfiguration.Tick(aNow); });
 }
 
 } // namespace heatherplank
--- a/src/agent/ConfigFeed.h
+++ b/src/agent/ConfigFeed.h
@@ -16,9 +16,9 @@
 class ControlLinks;
 class MetricsRegistry;
 
-/** Drives an agent's configuration: asks the balancers for the entry of its
- * own service. No call of the platform, so that it starts in an outage too.
- * Thread safe, by its own lock.
+/** Drives an agent's configuration: requests the entry of the agent's service
+ * from the balancers. Doesn't call the platform, so an agent can start during a
+ * platform outage. Thread safe.
  */
 class ConfigFeed
 {
@@ -28,29 +28,31 @@
     const Clock& mClock;
     MetricsRegistry& mMetrics;
     ControlLinks& mLinks;
-    /** Called for each version, in order; it must not call the feed. */
+    /** Called for each version in order; must not call the feed. */
     InForceRelay::OnChange mOnChange;
   };
 
-  /** aSeeds: control addresses of balancers to begin with. */
+  /** aSeeds: control addresses of the initial balancers. */
   ConfigFeed(Parts aParts, ServiceId aService, std::span<const Address> aSeeds);
 
-  /** The balancers that are believed to live; they are asked besides those to
-   * begin with. */
+  /** Adds the balancers that are believed to be alive to those that are
+   * queried. */
   void SetBalancers(std::span<const Member> aBalancers);
 
   /** The configuration in force here, or null. */
   ConfigurationPtr Current() const;
 
-  /** Takes a frame of a configuration kind. Malformed ones are counted. */
+  /** Handles a frame of a configuration kind. Malformed frames are counted. */
   void OnFrame(const Hello& aFrom, const Frame& aFrame);
 
   /** Call every 100 ms. */
   void Tick();
 
 private:
+  /** Runs aChange under the lock, then sends the resulting messages and
+   * delivers new configurations. */
   template<typename Change>
-  void Do(const Change& aChange);
+  void Apply(const Change& aChange);
   bool IsKnown(const Address& aControl) const;
 
   Parts mParts;
@@ -58,9 +60,9 @@
   mutable std::mutex mLock;
   AgentConfiguration mConfiguration;
   ConfigCounters mExported;
-  /** Where to reach balancers, by id; one to begin with has the hash of its
-   * address for an id until it says its own. */
-  std::map<HostId, Address> mAddresses;
+  /** Control addresses of balancers by id. A seed's id is the hash of its
+   * address until the balancer sends its real id. */
+  std::map<HostId, Address> mBalancerAddresses;
 };
 
 } // namespace heatherplank
--- a/src/agent/FlowEffects.h
+++ b/src/agent/FlowEffects.h
@@ -11,7 +11,7 @@
 
 namespace heatherplank {
 
-/** What is left to do once the shard's lock is free. */
+/** Sends and pipeline calls to perform after the shard's lock is released. */
 struct FlowEffects
 {
   struct Datagram
@@ -22,17 +22,18 @@
   std::vector<Datagram> mDatagrams;
   std::vector<PendingRequestPtr> mStarts;
   std::vector<std::pair<FlowKey, std::string>> mCancels;
+  /** Hand-offs that are sent over control connections. */
   std::vector<Datagram> mByControl;
 };
 
-/** The bytes of a text; valid as long as it. */
+/** The bytes of aText; valid as long as aText's buffer. */
 inline ByteView View(std::string_view aText)
 {
   return { reinterpret_cast<const std::uint8_t*>(aText.data()), aText.size() };
 }
 
-/** A copy of a packet that outlives its datagram. */
-inline HeldPacket Hold(const Packet& aPacket)
+/** Copies a packet so that it outlives its datagram. */
+inline HeldPacket CopyPacket(const Packet& aPacket)
 {
   return { aPacket.mFlow,
            aPacket.mReturnTo,
@@ -41,7 +42,7 @@
            { aPacket.mPayload.begin(), aPacket.mPayload.end() } };
 }
 
-/** A held packet as it came; its payload is a view into aHeld. */
+/** Restores a held packet; its payload is a view into aHeld. */
 inline Packet ToPacket(const HeldPacket& aHeld, ServiceId aService)
 {
   Packet packet;
--- a/src/agent/FlowFront.cpp
+++ b/src/agent/FlowHandler.cpp
@@ -1,4 +1,4 @@
-#include "src/agent/FlowFront.h"
+#include "src/agent/FlowHandler.h"
 
 #include <algorithm>
 #include <utility>
@@ -15,18 +15,19 @@
 
 namespace {
 
-/** A hand-off above this goes over TCP: with headers it would not fit into an
+/** Larger hand-offs are sent over TCP: with headers they would not fit into an
  * Ethernet frame. */
-constexpr std::size_t kMaxHandOffDatagram = 1200;
-constexpr auto kWrongServiceRetry = std::chrono::seconds(1);
-/** Ticks between two looks at old answers and counters: half a second. */
+constexpr std::size_t kMaxHandOffDatagramBytes = 1200;
+constexpr auto kWrongServiceRetryAfter = std::chrono::seconds(1);
+/** Ticks between two expiries of answers and exports of counters: half a second
+ * at 25 ms a tick. */
 constexpr std::uint64_t kTicksPerSweep = 20;
-/** The bounds of one shard leave room for an uneven spread of flows. */
-constexpr std::size_t kShardSlack = 2;
+/** Factor on the flow limit of a shard, for an uneven distribution of flows. */
+constexpr std::size_t kShardSlackFactor = 2;
 
 } // namespace
 
-FlowFront::FlowFront(Parts aParts, const Options& aOptions)
+FlowHandler::FlowHandler(Parts aParts, const Options& aOptions)
   : mParts(std::move(aParts))
   , mOptions(aOptions)
   , mMalformed(mParts.mMetrics.GetCounter("packets_refused_total",
@@ -35,32 +36,32 @@
                                          "reason=\"not_ready\""))
   , mWrongService(mParts.mMetrics.GetCounter("packets_refused_total",
                                              "reason=\"wrong_service\""))
-  , mRepeats(mParts.mMetrics.GetCounter("requests_repeated_total",
-                                        "state=\"in_progress\""))
-  , mResent(mParts.mMetrics.GetCounter("requests_repeated_total",
-                                       "state=\"answered\""))
+  , mRepeatedInProgress(mParts.mMetrics.GetCounter("requests_repeated_total",
+                                                   "state=\"in_progress\""))
+  , mRepeatedAnswered(mParts.mMetrics.GetCounter("requests_repeated_total",
+                                                 "state=\"answered\""))
   , mExported(kOwnershipCounts + kOwnershipRefusals)
 {
   OwnershipOptions ownership = mOptions.mOwnership;
-  ownership.mMaxFlows = mOptions.mMaxFlows / kShards * kShardSlack;
+  ownership.mMaxFlows = mOptions.mMaxFlows / kShards * kShardSlackFactor;
   ownership.mMaxDirectory = ownership.mMaxFlows;
   Peer self = ToPeer(mOptions.mSelf);
   for (std::size_t i = 0; i < kShards; ++i) {
     mShards.push_back(std::make_unique<FlowShard>(
-      self, mOptions.mSelf.mService, mParts.mObserve,
+      self, mOptions.mSelf.mService, mParts.mMakeCandidate,
       MixHash(self.mHost.mValue, i), ownership,
       mOptions.mMaxAnswerBytes / kShards, mParts.mClock.Now()));
   }
 }
 
-FlowFront::~FlowFront() = default;
+FlowHandler::~FlowHandler() = default;
 
-void FlowFront::SetPipeline(RequestPipeline& aPipeline)
+void FlowHandler::SetPipeline(RequestPipeline& aPipeline)
 {
   mPipeline = &aPipeline;
 }
 
-void FlowFront::SetService(const Service& aService, std::string_view aPolicy)
+void FlowHandler::SetService(const Service& aService, std::string_view aPolicy)
 {
   {
     std::lock_guard lock(mServiceLock);
@@ -72,12 +73,12 @@
   }
 }
 
-FlowShard& FlowFront::ShardOf(const FlowKey& aFlow)
+FlowShard& FlowHandler::ShardOf(const FlowKey& aFlow)
 {
   return *mShards[(HashFlow(aFlow) >> 56) % kShards];
 }
 
-bool FlowFront::OnDatagram(const Frame& aFrame)
+bool FlowHandler::OnDatagram(const Frame& aFrame)
 {
   if (aFrame.mKind == MessageKind::Packet) {
     auto packet = DecodePacket(aFrame.mPayload);
@@ -100,22 +101,22 @@
   return true;
 }
 
-void FlowFront::OnHandOffFrame(ByteView aPayload)
+void FlowHandler::OnHandOffFrame(ByteView aPayload)
 {
   OnDatagram({ MessageKind::HandOff, aPayload });
 }
 
-bool FlowFront::IsConfigured() const
+bool FlowHandler::IsConfigured() const
 {
   std::lock_guard lock(mServiceLock);
   return !mAddresses.empty();
 }
 
-bool FlowFront::IsForThisService(const Packet& aPacket) const
+bool FlowHandler::IsForThisService(const Packet& aPacket) const
 {
-  // Checked a second time, after the balancer: an address may have moved to
-  // another service while the packet was on its way, and a claim must not be
-  // shown to the catalogue.
+  // Repeats the balancer's check: an address may have moved to another service
+  // while the packet was in flight, and a request must not reach another
+  // service's backend server.
   if (aPacket.mService != mOptions.mSelf.mService) {
     return false;
   }
@@ -123,10 +124,11 @@
   return mAddresses.contains(aPacket.mFlow.mService);
 }
 
-void FlowFront::OnPacket(const Packet& aPacket)
+void FlowHandler::OnPacket(const Packet& aPacket)
 {
-  // Packets for the host's former life reach a process that just started and
-  // can't judge them: dropped, they come again by way of an agent that can.
+  // Packets for the host's previous incarnation reach a process that has just
+  // started and can't evaluate them. They are dropped; the callers' retries
+  // arrive through an agent that can evaluate them.
   if (!IsConfigured()) {
     mNotReady.Add();
     return;
@@ -137,32 +139,32 @@
     mWrongService.Add();
     {
       std::lock_guard lock(shard.mLock);
-      RefuseRequest(shard, Hold(aPacket), "wrong_service", kWrongServiceRetry,
-                    effects);
+      RefuseRequest(shard, CopyPacket(aPacket), "wrong_service",
+                    kWrongServiceRetryAfter, effects);
     }
     Perform(effects);
     return;
   }
   if (aPacket.mDirective == PacketDirective::Lend) {
-    RunLent(aPacket);
+    OnLentPacket(aPacket);
     return;
   }
   {
     std::lock_guard lock(shard.mLock);
     PacketToken token = mNextToken++;
-    shard.mHeld[token] = Hold(aPacket);
+    shard.mHeld[token] = CopyPacket(aPacket);
     PacketEvent event{
       token,         aPacket.mFlow,      aPacket.mService, aPacket.mHintTo,
       aPacket.mHops, aPacket.mDirective, aPacket.mArbiter, aPacket.mEpoch
     };
     OwnershipActions actions;
     shard.mOwnership.OnPacket(event, mParts.mClock.Now(), actions);
-    Carry(shard, actions, {}, effects);
+    Execute(shard, actions, {}, effects);
   }
   Perform(effects);
 }
 
-void FlowFront::OnMessage(const OwnershipMessage& aMessage)
+void FlowHandler::OnMessage(const OwnershipMessage& aMessage)
 {
   FlowShard& shard = ShardOf(FlowOf(aMessage));
   const auto* handOff = std::get_if<HandOff>(&aMessage);
@@ -171,12 +173,12 @@
     std::lock_guard lock(shard.mLock);
     OwnershipActions actions;
     shard.mOwnership.OnMessage(aMessage, mParts.mClock.Now(), actions);
-    Carry(shard, actions, handOff ? handOff->mState : ByteView{}, effects);
+    Execute(shard, actions, handOff ? handOff->mState : ByteView{}, effects);
   }
   Perform(effects);
 }
 
-void FlowFront::OnView(const ServiceViewPtr& aView, Time aConfirmedAt)
+void FlowHandler::OnView(const ServiceViewPtr& aView, Time aConfirmedAt)
 {
   {
     std::lock_guard lock(mServiceLock);
@@ -188,21 +190,21 @@
     FlowEffects effects;
     {
       std::lock_guard lock(it->mLock);
-      // Two answers may be taken in by two threads; the older view must not
-      // replace the newer one.
+      // Two threads may handle two heartbeat replies at once; the older view
+      // must not replace the newer one.
       if (aView->Version() < it->mViewVersion) {
         continue;
       }
       it->mViewVersion = aView->Version();
       OwnershipActions actions;
       it->mOwnership.OnView(aView, aConfirmedAt, mParts.mClock.Now(), actions);
-      Carry(*it, actions, {}, effects);
+      Execute(*it, actions, {}, effects);
     }
     Perform(effects);
   }
 }
 
-void FlowFront::Drain()
+void FlowHandler::Drain()
 {
   for (auto& it : mShards) {
     FlowEffects effects;
@@ -210,13 +212,13 @@
       std::lock_guard lock(it->mLock);
       OwnershipActions actions;
       it->mOwnership.Drain(mParts.mClock.Now(), actions);
-      Carry(*it, actions, {}, effects);
+      Execute(*it, actions, {}, effects);
     }
     Perform(effects);
   }
 }
 
-void FlowFront::Tick()
+void FlowHandler::Tick()
 {
   bool sweep = ++mTicks % kTicksPerSweep == 0;
   for (auto& it : mShards) {
@@ -226,10 +228,10 @@
       Time now = mParts.mClock.Now();
       OwnershipActions actions;
       it->mOwnership.Tick(now, actions);
-      Carry(*it, actions, {}, effects);
+      Execute(*it, actions, {}, effects);
       if (sweep) {
         it->mAnswers.Expire(now);
-        ExpireLent(*it, now);
+        ExpireLentRequests(*it, now);
       }
     }
     Perform(effects);
@@ -239,7 +241,7 @@
   }
 }
 
-std::size_t FlowFront::FlowCount()
+std::size_t FlowHandler::FlowCount()
 {
   std::size_t count = 0;
   for (auto& it : mShards) {
@@ -249,12 +251,12 @@
   return count;
 }
 
-void FlowFront::Carry(FlowShard& aShard, const OwnershipActions& aActions,
-                      ByteView aHandOffState, FlowEffects& aEffects)
+void FlowHandler::Execute(FlowShard& aShard, const OwnershipActions& aActions,
+                          ByteView aHandOffState, FlowEffects& aEffects)
 {
   for (const auto& it : aActions) {
     if (const auto* dispatch = std::get_if<DispatchPacket>(&it)) {
-      TakeOwned(aShard, *dispatch, aEffects);
+      StartOwnedRequest(aShard, *dispatch, aEffects);
     } else if (const auto* forward = std::get_if<ForwardPacket>(&it)) {
       Forward(aShard, *forward, aEffects);
     } else if (const auto* refuse = std::get_if<RefusePacket>(&it)) {
@@ -266,9 +268,9 @@
       SendHandOff(*exported, aShard.mAnswers.Export(exported->mHandOff.mFlow),
                   aEffects);
     } else if (const auto* imported = std::get_if<ImportFlow>(&it)) {
-      auto taken = aShard.mAnswers.Import(imported->mFlow, aHandOffState,
-                                          mParts.mClock.Now());
-      if (!taken) {
+      auto result = aShard.mAnswers.Import(imported->mFlow, aHandOffState,
+                                           mParts.mClock.Now());
+      if (!result) {
         mMalformed.Add();
       }
     } else if (const auto* drop = std::get_if<DropFlow>(&it)) {
@@ -277,17 +279,18 @@
   }
 }
 
-void FlowFront::TakeOwned(FlowShard& aShard, const DispatchPacket& aDispatch,
-                          FlowEffects& aEffects)
+void FlowHandler::StartOwnedRequest(FlowShard& aShard,
+                                    const DispatchPacket& aDispatch,
+                                    FlowEffects& aEffects)
 {
   auto held = aShard.mHeld.extract(aDispatch.mToken);
   if (!held.empty()) {
-    TakeRequest(aShard, held.mapped(), aDispatch.mEpoch, false, aEffects);
+    HandleRequest(aShard, held.mapped(), aDispatch.mEpoch, false, aEffects);
   }
 }
 
-void FlowFront::Forward(FlowShard& aShard, const ForwardPacket& aForward,
-                        FlowEffects& aEffects)
+void FlowHandler::Forward(FlowShard& aShard, const ForwardPacket& aForward,
+                          FlowEffects& aEffects)
 {
   auto held = aShard.mHeld.extract(aForward.mToken);
   if (held.empty()) {
@@ -301,14 +304,14 @@
   aEffects.mDatagrams.push_back({ aForward.mTo.mTunnel, EncodePacket(packet) });
 }
 
-void FlowFront::SendHandOff(const ExportFlow& aExport, Bytes aState,
-                            FlowEffects& aEffects)
+void FlowHandler::SendHandOff(const ExportFlow& aExport, Bytes aState,
+                              FlowEffects& aEffects)
 {
   HandOff handOff = aExport.mHandOff;
   handOff.mState = aState;
   Bytes payload = EncodeOwnershipPayload(handOff);
   Address control = ControlOf(aExport.mTo);
-  if (payload.size() <= kMaxHandOffDatagram || control.IsNone()) {
+  if (payload.size() <= kMaxHandOffDatagramBytes || control.IsNone()) {
     aEffects.mDatagrams.push_back(
       { aExport.mTo, EncodeDatagram(MessageKind::HandOff, payload) });
     return;
@@ -316,7 +319,7 @@
   aEffects.mByControl.push_back({ control, std::move(payload) });
 }
 
-void FlowFront::Perform(const FlowEffects& aEffects)
+void FlowHandler::Perform(const FlowEffects& aEffects)
 {
   for (const auto& it : aEffects.mDatagrams) {
     mParts.mTunnel.Send(it.mBytes, it.mTo);
@@ -337,13 +340,13 @@
   }
 }
 
-ServiceViewPtr FlowFront::CurrentView() const
+ServiceViewPtr FlowHandler::CurrentView() const
 {
   std::lock_guard lock(mServiceLock);
   return mView;
 }
 
-Address FlowFront::ControlOf(const Address& aTunnel) const
+Address FlowHandler::ControlOf(const Address& aTunnel) const
 {
   ServiceViewPtr view = CurrentView();
   if (!view) {
@@ -357,7 +360,7 @@
   return {};
 }
 
-void FlowFront::ExportCounters()
+void FlowHandler::ExportCounters()
 {
   std::vector<std::uint64_t> totals(mExported.size());
   std::size_t flows = 0;
@@ -384,12 +387,12 @@
         isRefusal ? "packets_refused_total" : "ownership_events_total", label)
       .Add(totals[i] - mExported[i]);
   }
-  auto grown = [&](OwnershipCount aCount) {
+  auto increase = [&](OwnershipCount aCount) {
     auto i = static_cast<std::size_t>(aCount);
     return totals[i] - mExported[i];
   };
-  mParts.mMeter.OnFlows(grown(OwnershipCount::Adopted),
-                        grown(OwnershipCount::FlowsLetGo));
+  mParts.mMeter.OnFlows(increase(OwnershipCount::Adopted),
+                        increase(OwnershipCount::FlowsLetGo));
   mExported = std::move(totals);
   mParts.mMetrics.GetGauge("flows_owned").Set(static_cast<double>(flows));
 }
--- a/src/agent/FlowFrontRequests.cpp
+++ b/src/agent/FlowHandlerRequests.cpp
@@ -1,24 +1,25 @@
 #include "src/agent/FlowEffects.h"
-#include "src/agent/FlowFront.h"
+#include "src/agent/FlowHandler.h"
 #include "src/agent/PolicyMeter.h"
 #include "src/caller/Answer.h"
 #include "src/metrics/Metrics.h"
 
 namespace heatherplank {
 
-void FlowFront::RunLent(const Packet& aPacket)
+void FlowHandler::OnLentPacket(const Packet& aPacket)
 {
   FlowShard& shard = ShardOf(aPacket.mFlow);
   FlowEffects effects;
   {
     std::lock_guard lock(shard.mLock);
-    TakeRequest(shard, Hold(aPacket), aPacket.mEpoch, true, effects);
+    HandleRequest(shard, CopyPacket(aPacket), aPacket.mEpoch, true, effects);
   }
   Perform(effects);
 }
 
-void FlowFront::TakeRequest(FlowShard& aShard, const HeldPacket& aPacket,
-                            FlowEpoch aEpoch, bool aLent, FlowEffects& aEffects)
+void FlowHandler::HandleRequest(FlowShard& aShard, const HeldPacket& aPacket,
+                                FlowEpoch aEpoch, bool aLent,
+                                FlowEffects& aEffects)
 {
   auto parsed = ParseCallerRequest(aPacket.mPayload);
   if (!parsed) {
@@ -26,7 +27,7 @@
     return;
   }
   const std::string& id = parsed->mRequestId;
-  if (!aLent && PassToLender(aShard, aPacket, aEpoch, id, aEffects)) {
+  if (!aLent && ForwardToBorrower(aShard, aPacket, aEpoch, id, aEffects)) {
     return;
   }
   if (parsed->mCancel) {
@@ -35,13 +36,13 @@
   }
   RequestState state = aShard.mAnswers.Begin(aPacket.mFlow, id);
   if (state == RequestState::InProgress) {
-    mRepeats.Add();
+    mRepeatedInProgress.Add();
     return;
   }
   if (state == RequestState::Answered) {
-    mResent.Add();
-    PutAnswer(aPacket, *aShard.mAnswers.Find(aPacket.mFlow, id), id, aEpoch,
-              parsed->mRange, aEffects);
+    mRepeatedAnswered.Add();
+    QueueAnswer(aPacket, *aShard.mAnswers.Find(aPacket.mFlow, id), id, aEpoch,
+                parsed->mRange, aEffects);
     return;
   }
   PendingRequestPtr request(new PendingRequest);
@@ -59,19 +60,20 @@
   aEffects.mStarts.push_back(std::move(request));
 }
 
-bool FlowFront::PassToLender(FlowShard& aShard, const HeldPacket& aPacket,
-                             FlowEpoch aEpoch, const std::string& aRequestId,
-                             FlowEffects& aEffects)
+bool FlowHandler::ForwardToBorrower(FlowShard& aShard,
+                                    const HeldPacket& aPacket, FlowEpoch aEpoch,
+                                    const std::string& aRequestId,
+                                    FlowEffects& aEffects)
 {
-  auto flow = aShard.mLent.find(aPacket.mFlow);
-  if (flow == aShard.mLent.end()) {
+  auto flow = aShard.mLentRequests.find(aPacket.mFlow);
+  if (flow == aShard.mLentRequests.end()) {
     return false;
   }
   auto lent = flow->second.find(aRequestId);
   ServiceViewPtr view = CurrentView();
   const Member* member = lent == flow->second.end() || !view
                            ? nullptr
-                           : view->Find(lent->second.mTo);
+                           : view->Find(lent->second.mBorrower);
   if (member == nullptr) {
     return false;
   }
@@ -82,8 +84,8 @@
   return true;
 }
 
-void FlowFront::RefuseHeld(FlowShard& aShard, const RefusePacket& aRefuse,
-                           FlowEffects& aEffects)
+void FlowHandler::RefuseHeld(FlowShard& aShard, const RefusePacket& aRefuse,
+                             FlowEffects& aEffects)
 {
   auto held = aShard.mHeld.extract(aRefuse.mToken);
   if (!held.empty()) {
@@ -92,13 +94,14 @@
   }
 }
 
-/** Failure met: copies of one request queue up while this process is paused.
- * The first is refused, the view becomes fresh, and the next copy is taken in
- * as a new request: its caller was told "not run", and it ran. It holds since
- * the refusal is kept under the request's id like any other answer. */
-void FlowFront::RefuseRequest(FlowShard& aShard, const HeldPacket& aPacket,
-                              std::string_view aReason, Duration aRetryAfter,
-                              FlowEffects& aEffects)
+/** Guards against: copies of a request queue up while this process is paused.
+ * The first copy is refused, the view becomes current, and the next copy is
+ * accepted as a new request: it runs although its caller received "not run".
+ * The refusal is therefore retained under the request's id like any other
+ * answer. */
+void FlowHandler::RefuseRequest(FlowShard& aShard, const HeldPacket& aPacket,
+                                std::string_view aReason, Duration aRetryAfter,
+                                FlowEffects& aEffects)
 {
   auto parsed = ParseCallerRequest(aPacket.mPayload);
   if (!parsed) {
@@ -110,13 +113,14 @@
   const std::string& id = request.mRequest.mRequestId;
   RequestState state = aShard.mAnswers.Begin(aPacket.mFlow, id);
   if (state == RequestState::InProgress) {
-    mRepeats.Add();
+    mRepeatedInProgress.Add();
     return;
   }
   if (state == RequestState::New) {
-    // This host does not own the flow. The one that does may have run a claim
-    // before it was paused or cut off, so "not run" could be false; the record
-    // will tell when the caller asks again under its key.
+    // This host does not own the flow. The owner may have run the request
+    // before it was paused or isolated, so "not run" could be false for one
+    // that must not repeat; the grant record has its outcome when the caller
+    // retries.
     bool mayHaveRun =
       !mPipeline->Classify(request) || request.mRule.mNeverRepeat;
     aShard.mAnswers.Finish(aPacket.mFlow, id,
@@ -124,14 +128,14 @@
                                       : MakeNotRun(503, aReason, aRetryAfter),
                            mParts.mClock.Now());
   }
-  PutAnswer(aPacket, *aShard.mAnswers.Find(aPacket.mFlow, id), id, 0, {},
-            aEffects);
+  QueueAnswer(aPacket, *aShard.mAnswers.Find(aPacket.mFlow, id), id, 0, {},
+              aEffects);
 }
 
-void FlowFront::PutAnswer(const HeldPacket& aPacket, const Answer& aAnswer,
-                          const std::string& aRequestId, FlowEpoch aEpoch,
-                          const std::optional<ByteRange>& aRange,
-                          FlowEffects& aEffects)
+void FlowHandler::QueueAnswer(const HeldPacket& aPacket, const Answer& aAnswer,
+                              const std::string& aRequestId, FlowEpoch aEpoch,
+                              const std::optional<ByteRange>& aRange,
+                              FlowEffects& aEffects)
 {
   Packet packet = ToPacket(aPacket, mOptions.mSelf.mService);
   packet.mDirective = PacketDirective::Answer;
@@ -141,7 +145,7 @@
   }
 }
 
-void FlowFront::OnAnswer(const PendingRequestPtr& aRequest, Answer aAnswer)
+void FlowHandler::OnAnswer(const PendingRequestPtr& aRequest, Answer aAnswer)
 {
   aAnswer.mService = mOptions.mServiceName;
   const std::string& id = aRequest->mRequest.mRequestId;
@@ -150,25 +154,26 @@
     aRequest->mFlow, aRequest->mReturnTo, aRequest->mHintTo, 0, {}
   };
   FlowEffects effects;
-  PutAnswer(packet, aAnswer, id, aRequest->mEpoch, aRequest->mRequest.mRange,
-            effects);
+  QueueAnswer(packet, aAnswer, id, aRequest->mEpoch, aRequest->mRequest.mRange,
+              effects);
   {
     std::lock_guard lock(shard.mLock);
     Time now = mParts.mClock.Now();
     mParts.mMeter.OnAnswer(aRequest->mRule.mImportance, aAnswer,
                            now - aRequest->mArrival);
-    bool ran = aAnswer.mOutcome != Outcome::NotRun;
+    bool mayHaveRun = aAnswer.mOutcome != Outcome::NotRun;
     shard.mAnswers.Finish(aRequest->mFlow, id, std::move(aAnswer), now);
     if (!aRequest->mLent) {
       OwnershipActions actions;
-      shard.mOwnership.OnRequestEnded(aRequest->mFlow, ran, now, actions);
-      Carry(shard, actions, {}, effects);
+      shard.mOwnership.OnRequestEnded(aRequest->mFlow, mayHaveRun, now,
+                                      actions);
+      Execute(shard, actions, {}, effects);
     }
   }
   Perform(effects);
 }
 
-bool FlowFront::OnHandOn(const PendingRequestPtr& aRequest, HostId aTarget)
+bool FlowHandler::OnForward(const PendingRequestPtr& aRequest, HostId aTarget)
 {
   ServiceViewPtr view = CurrentView();
   const Member* member = view ? view->Find(aTarget) : nullptr;
@@ -192,25 +197,27 @@
   {
     std::lock_guard lock(shard.mLock);
     shard.mAnswers.Release(aRequest->mFlow, lent.mRequestId);
-    shard.mLent[aRequest->mFlow][lent.mRequestId] = {
+    shard.mLentRequests[aRequest->mFlow][lent.mRequestId] = {
       aTarget, aRequest->mDeadline + AnswerStore::kRetention
     };
     OwnershipActions actions;
     shard.mOwnership.OnRequestEnded(aRequest->mFlow, true, mParts.mClock.Now(),
                                     actions);
-    Carry(shard, actions, {}, effects);
+    Execute(shard, actions, {}, effects);
   }
   Perform(effects);
   return true;
 }
 
-void FlowFront::ExpireLent(FlowShard& aShard, Time aNow)
+void FlowHandler::ExpireLentRequests(FlowShard& aShard, Time aNow)
 {
-  for (auto flow = aShard.mLent.begin(); flow != aShard.mLent.end();) {
+  for (auto flow = aShard.mLentRequests.begin();
+       flow != aShard.mLentRequests.end();) {
     std::erase_if(flow->second, [&](const auto& aRequest) {
-      return aRequest.second.mUntil <= aNow;
+      return aRequest.second.mExpiresAt <= aNow;
     });
-    flow = flow->second.empty() ? aShard.mLent.erase(flow) : std::next(flow);
+    flow =
+      flow->second.empty() ? aShard.mLentRequests.erase(flow) : std::next(flow);
   }
 }
 
--- a/src/agent/FlowShard.h
+++ b/src/agent/FlowShard.h
@@ -10,7 +10,7 @@
 
 namespace heatherplank {
 
-/** A packet that waits for ownership to settle it. */
+/** A packet that is held until Ownership decides on it. */
 struct HeldPacket
 {
   FlowKey mFlow;
@@ -20,16 +20,16 @@
   Bytes mPayload;
 };
 
-/** A part of this host's flows, by their hash, with all that is known of them.
- * Everything in it stands under its lock.
+/** One shard of this host's flows, split by hash, with their state. mLock
+ * guards all other members.
  */
 struct FlowShard
 {
   FlowShard(const Peer& aSelf, ServiceId aService,
-            OwnerPicker::Observe aObserve, std::uint64_t aSeed,
+            OwnerPicker::CandidateFactory aMakeCandidate, std::uint64_t aSeed,
             const OwnershipOptions& aOptions, std::size_t aMaxAnswerBytes,
             Time aStart)
-    : mPicker(std::move(aObserve), aSeed)
+    : mPicker(std::move(aMakeCandidate), aSeed)
     , mOwnership(aSelf, aService, mPicker, aOptions, aStart)
     , mAnswers(aMaxAnswerBytes)
   {
@@ -40,15 +40,16 @@
   Ownership mOwnership;
   AnswerStore mAnswers;
   std::unordered_map<PacketToken, HeldPacket> mHeld;
-  /** Requests that another host runs for this one, by flow and id, until their
-   * deadline: copies of them go there too. */
+  /** A request that another host runs for this one. Copies of it are forwarded
+   * to the same host until mExpiresAt. */
   struct LentRequest
   {
-    HostId mTo;
-    Time mUntil;
+    HostId mBorrower;
+    Time mExpiresAt;
   };
+  /** By flow and request id. */
   std::unordered_map<FlowKey, std::unordered_map<std::string, LentRequest>>
-    mLent;
+    mLentRequests;
   std::uint64_t mViewVersion = 0;
 };
 
--- a/src/agent/MemberFeed.cpp
+++ b/src/agent/MemberFeed.cpp
@@ -11,17 +11,17 @@
 
 namespace {
 
-/** Five fit into the silence that raises a suspicion, and the answer to the
- * second to last still keeps the trust in a view. */
-constexpr auto kHeartbeatEvery = std::chrono::milliseconds(300);
+/** Five heartbeats fit into the time after which an unresponsive host is
+ * suspected. The reply to the second to last still keeps the view trusted. */
+constexpr auto kHeartbeatInterval = std::chrono::milliseconds(300);
 
 } // namespace
 
-/** Balancers send an agent members of its own service only; anything else is a
- * mistake and is kept out. */
-struct MemberFeed::OwnService final : public InventoryCheck
+/** Accepts members of the agent's service only. Balancers send no others, so
+ * any other member is an error and is dropped. */
+struct MemberFeed::ServiceCheck final : public InventoryCheck
 {
-  explicit OwnService(ServiceId aService)
+  explicit ServiceCheck(ServiceId aService)
     : mService(aService)
   {
   }
@@ -38,15 +38,15 @@
 {
   AgentMembershipOptions options;
   options.mSeeds = std::move(aSeeds);
-  options.mHeartbeatEvery = kHeartbeatEvery;
+  options.mHeartbeatEvery = kHeartbeatInterval;
   return options;
 }
 
 MemberFeed::MemberFeed(Parts aParts, const Member& aSelf,
                        const AgentMembershipOptions& aOptions)
   : mParts(std::move(aParts))
-  , mOwnService(std::make_unique<OwnService>(aSelf.mService))
-  , mMembership(aSelf, *mOwnService, aOptions,
+  , mServiceCheck(std::make_unique<ServiceCheck>(aSelf.mService))
+  , mMembership(aSelf, *mServiceCheck, aOptions,
                 MixHash(aSelf.mHost.mValue, aSelf.mIncarnation),
                 mParts.mClock.Now())
 {
@@ -147,17 +147,17 @@
   }
   if (mParts.mOnView) {
     std::lock_guard lock(mLock);
-    MemberViewPtr fresh = mMembership.Peers();
-    bool changed = !mMemberView || mMemberView->mVersion != fresh->mVersion;
+    MemberViewPtr current = mMembership.Peers();
+    bool changed = !mMemberView || mMemberView->mVersion != current->mVersion;
     if (changed) {
-      mMemberView = fresh;
-      mView = MakeServiceView(mMembership.Self().mService, fresh->mVersion,
-                              fresh->mMembers);
+      mMemberView = current;
+      mView = MakeServiceView(mMembership.Self().mService, current->mVersion,
+                              current->mMembers);
     }
     confirmedAt = mMembership.ConfirmedAt();
     bool confirmed = confirmedAt > mConfirmedAt;
     mConfirmedAt = confirmedAt;
-    // Before the first answer the view holds this host alone, by its own word.
+    // Before the first reply the view holds only this host, unconfirmed.
     if (confirmedAt != Time{} && (changed || confirmed)) {
       view = mView;
     }
--- a/src/agent/MemberFeed.h
+++ b/src/agent/MemberFeed.h
@@ -16,15 +16,15 @@
 class MessageSender;
 class MetricsRegistry;
 
-/** Drives an agent's membership: heartbeats out, the view of its own service
- * in. Announces nothing until Announce, since a host that does not know its
- * service yet can only refuse. Thread safe, by its own lock.
+/** Drives an agent's membership: sends heartbeats and receives the view of the
+ * agent's service. Sends nothing until Announce, since a host without a
+ * configuration of its service can only refuse requests. Thread safe.
  */
 class MemberFeed
 {
 public:
-  /** Called with no lock held each time that a balancer answered a heartbeat or
-   * the view changed; aConfirmedAt is when that heartbeat was sent. */
+  /** Called with no lock held when a balancer answered a heartbeat or the view
+   * changed. aConfirmedAt: when the latest answered heartbeat was sent. */
   using OnView = std::function<void(ServiceViewPtr, Time aConfirmedAt)>;
 
   struct Parts
@@ -32,60 +32,60 @@
     const Clock& mClock;
     MetricsRegistry& mMetrics;
     MessageSender& mLinks;
-    /** Empty: no view is made, which costs some 24 ms a change in a large
-     * service. IsInView may not be called then. */
+    /** If empty, no view is built, which saves about 24 ms per change in a
+     * large service; IsInView must not be called then. */
     OnView mOnView;
   };
 
-  /** How agents of the request interface are wired. aSeeds: control addresses
-   * of balancers to begin with. */
+  /** Options for agents of the request interface. aSeeds: control addresses of
+   * the initial balancers. */
   static AgentMembershipOptions DefaultOptions(std::vector<Address> aSeeds);
 
   MemberFeed(Parts aParts, const Member& aSelf,
              const AgentMembershipOptions& aOptions);
   ~MemberFeed();
 
-  /** Begins to announce the host, as serving. Later calls do nothing. */
+  /** Starts heartbeats, in state Serving. Later calls do nothing. */
   void Announce();
 
-  /** Announces another state, at once. A state never goes back, but by
-   * BeginLife. */
+  /** Announces another state at once. Ignored if the host is in that state or a
+   * later one; only BeginLife returns to an earlier state. */
   void SetState(HostState aState);
 
-  /** Announces a new life of the host, in this state. */
+  /** Announces a new incarnation of the host, in aState. */
   void BeginLife(HostState aState);
 
-  /** Announces how many requests the host works on at once. */
+  /** Announces how many requests the host runs concurrently. */
   void SetSlots(std::uint16_t aSlots);
 
-  /** Other balancers to begin with: the settings changed. */
+  /** Replaces the initial balancers after a change of the settings. */
   void SetSeeds(std::vector<Address> aSeeds);
 
-  /** Takes a frame of a membership kind. Malformed ones are counted. */
+  /** Handles a frame of a membership kind. Malformed frames are counted. */
   void OnFrame(const Frame& aFrame);
 
   /** Call every 50 ms. */
   void Tick();
 
   /** When the latest heartbeat that a balancer answered was sent; zero before
-   * the first. */
+   * the first reply. */
   Time ConfirmedAt() const;
 
-  /** A balancer has answered and this host stands in the view. */
+  /** True if a balancer has answered and the view contains this host. */
   bool IsInView() const;
 
-  /** The balancers that are believed to live. */
+  /** The balancers that are believed to be alive. */
   std::vector<Member> Balancers() const;
 
 private:
-  struct OwnService;
+  struct ServiceCheck;
 
-  /** Sends what is due, and gives out the view if it or its confirmation is
-   * news. */
+  /** Sends due messages, and delivers the view if it changed or was confirmed
+   * again. */
   void Flush();
 
   Parts mParts;
-  std::unique_ptr<OwnService> mOwnService;
+  std::unique_ptr<ServiceCheck> mServiceCheck;
   mutable std::mutex mLock;
   AgentMembership mMembership;
   bool mAnnounced = false;
--- a/src/agent/Outliers.cpp
+++ b/src/agent/OutlierTracker.cpp
@@ -1,4 +1,4 @@
-#include "src/agent/Outliers.h"
+#include "src/agent/OutlierTracker.h"
 
 #include <utility>
 
@@ -6,14 +6,14 @@
 
 namespace heatherplank {
 
-Outliers::Outliers()
+OutlierTracker::OutlierTracker()
   : mDetector(std::move(*MakeOutlierDetector("compared")))
 {
 }
 
-Outliers::~Outliers() = default;
+OutlierTracker::~OutlierTracker() = default;
 
-void Outliers::OnView(const ServiceView& aView)
+void OutlierTracker::OnView(const ServiceView& aView)
 {
   std::set<HostId> present;
   for (const auto& it : aView.Members()) {
@@ -31,13 +31,13 @@
   mHosts = std::move(present);
 }
 
-void Outliers::OnFigures(HostId aHost, const HostLoad& aLoad, Time aNow)
+void OutlierTracker::OnFigures(HostId aHost, const HostLoad& aLoad, Time aNow)
 {
   std::lock_guard lock(mLock);
   mDetector->OnFigures(aHost, aLoad, aNow);
 }
 
-bool Outliers::IsOut(HostId aHost, Time aNow) const
+bool OutlierTracker::IsOut(HostId aHost, Time aNow) const
 {
   std::lock_guard lock(mLock);
   return mDetector->IsOut(aHost, aNow);
--- a/src/agent/Outliers.h
+++ b/src/agent/OutlierTracker.h
@@ -12,22 +12,22 @@
 
 class OutlierDetector;
 
-/** Which hosts of the service fail, by the results that their agents saw.
- * Thread safe, by its own lock.
+/** Detects failing hosts of the service by the results that their agents
+ * report. Thread safe.
  */
-class Outliers
+class OutlierTracker
 {
 public:
-  Outliers();
-  ~Outliers();
+  OutlierTracker();
+  ~OutlierTracker();
 
-  /** Takes the present view: hosts that left count no more. */
+  /** Adds and removes hosts by the current view. */
   void OnView(const ServiceView& aView);
 
-  /** Takes a host's figures, this one's own too. */
+  /** Records the reported load of a host, which may be this one. */
   void OnFigures(HostId aHost, const HostLoad& aLoad, Time aNow);
 
-  /** True while the host should get no new flow. */
+  /** True while the host should get no new flows. */
   bool IsOut(HostId aHost, Time aNow) const;
 
 private:
--- a/src/agent/OwnerPicker.cpp
+++ b/src/agent/OwnerPicker.cpp
@@ -6,15 +6,15 @@
 
 namespace {
 
-constexpr std::string_view kFirstPolicy = "two-choices";
+constexpr std::string_view kDefaultPolicy = "two-choices";
 
 } // namespace
 
-OwnerPicker::OwnerPicker(Observe aObserve, std::uint64_t aSeed)
-  : mObserve(std::move(aObserve))
+OwnerPicker::OwnerPicker(CandidateFactory aMakeCandidate, std::uint64_t aSeed)
+  : mMakeCandidate(std::move(aMakeCandidate))
   , mSeed(aSeed)
 {
-  SetPolicy(kFirstPolicy);
+  SetPolicy(kDefaultPolicy);
 }
 
 bool OwnerPicker::SetPolicy(std::string_view aName)
@@ -36,7 +36,7 @@
 {
   mCandidates.clear();
   for (const Member* it : aCandidates) {
-    mCandidates.push_back(mObserve(*it, aNow));
+    mCandidates.push_back(mMakeCandidate(*it, aNow));
   }
   return mPolicy->Pick(aFlowHash, mCandidates, aNow);
 }
--- a/src/agent/OwnerPicker.h
+++ b/src/agent/OwnerPicker.h
@@ -11,27 +11,26 @@
 
 namespace heatherplank {
 
-/** Chooses owners of new flows by the balancing policy in force and the load
- * that is known of the candidates. Not thread safe: one for each shard.
+/** Chooses owners of new flows by the balancing policy in force and the last
+ * reported load of the candidates. Not thread safe: one instance per shard.
  */
 class OwnerPicker final : public OwnerPolicy
 {
 public:
-  /** What is known of a member, its share of new work included. Called under
-   * the shard's lock. */
-  using Observe = std::function<Candidate(const Member&, Time)>;
+  /** Returns the load and weight of a member. Called under the shard's lock. */
+  using CandidateFactory = std::function<Candidate(const Member&, Time)>;
 
-  OwnerPicker(Observe aObserve, std::uint64_t aSeed);
+  OwnerPicker(CandidateFactory aMakeCandidate, std::uint64_t aSeed);
 
-  /** Puts a policy in force; an unknown name changes nothing and gives false.
-   */
+  /** Switches to the named policy. Returns false and changes nothing if the
+   * name is unknown. */
   bool SetPolicy(std::string_view aName);
 
   std::size_t Pick(std::span<const Member* const> aCandidates,
                    std::uint64_t aFlowHash, Time aNow) override;
 
 private:
-  Observe mObserve;
+  CandidateFactory mMakeCandidate;
   std::uint64_t mSeed;
   std::string mName;
   std::unique_ptr<BalancingPolicy> mPolicy;
--- a/src/agent/PeerLoads.cpp
+++ b/src/agent/PeerLoads.cpp
@@ -7,9 +7,9 @@
 
 namespace {
 
-constexpr auto kNeverHeard = std::chrono::hours(1);
+constexpr auto kUnknownLoadAge = std::chrono::hours(1);
 
-auto Order(const LoadMessage& aMessage)
+auto ReportOrder(const LoadMessage& aMessage)
 {
   return std::pair(aMessage.mIncarnation, aMessage.mSequence);
 }
@@ -20,7 +20,7 @@
 {
   std::lock_guard lock(mLock);
   Entry& entry = mEntries[aMessage.mHost];
-  if (Order(entry.mMessage) < Order(aMessage)) {
+  if (ReportOrder(entry.mMessage) < ReportOrder(aMessage)) {
     entry = { aMessage, aNow };
   }
 }
@@ -41,11 +41,11 @@
   auto it = mEntries.find(aHost);
   if (it == mEntries.end()) {
     HostLoad unknown;
-    unknown.mAge = kNeverHeard;
+    unknown.mAge = kUnknownLoadAge;
     return unknown;
   }
   HostLoad load = it->second.mMessage.mLoad;
-  load.mAge = aNow - it->second.mHeardAt;
+  load.mAge = aNow - it->second.mReceivedAt;
   return load;
 }
 
--- a/src/agent/PeerLoads.h
+++ b/src/agent/PeerLoads.h
@@ -11,27 +11,25 @@
 
 namespace heatherplank {
 
-/** The load of the other hosts of the service, as their agents told it last.
- * Thread safe, by its own lock.
- */
+/** The last reported load of each other host of the service. Thread safe. */
 class PeerLoads
 {
 public:
-  /** Takes figures; those of an older incarnation or sequence are dropped. */
+  /** Records a report; one with an older incarnation or sequence is dropped. */
   void OnLoad(const LoadMessage& aMessage, Time aNow);
 
-  /** Keeps the figures of these members only. */
+  /** Removes the reports of hosts that are not in aMembers. */
   void Retain(std::span<const Member> aMembers);
 
-  /** The figures of a host with their present age. A host that was not heard
-   * from counts as idle with figures an hour old. */
+  /** The last reported load of a host, with its age. A host without a report
+   * counts as idle, with a report an hour old. */
   HostLoad Find(HostId aHost, Time aNow) const;
 
 private:
   struct Entry
   {
     LoadMessage mMessage;
-    Time mHeardAt;
+    Time mReceivedAt;
   };
 
   mutable std::mutex mLock;
--- a/src/agent/PendingRequest.h
+++ b/src/agent/PendingRequest.h
@@ -11,8 +11,8 @@
 
 namespace heatherplank {
 
-/** A request on its way through the agent. What stands above the line is set
- * once; the rest belongs to the pipeline, under its lock.
+/** A request that the agent processes. The fields of the first group are set
+ * before RequestPipeline::Start; those of the second belong to the pipeline.
  */
 struct PendingRequest : boost::intrusive_ref_counter<PendingRequest>
 {
@@ -20,8 +20,8 @@
   FlowEpoch mEpoch = 0;
   Address mReturnTo;
   Address mHintTo;
-  /** Another host owns the flow and keeps the answer; this one only runs it.
-   */
+  /** Another host owns the flow and lent the request to this one, which runs
+   * it. */
   bool mLent = false;
   std::uint8_t mHops = 0;
   CallerRequest mRequest;
@@ -30,7 +30,7 @@
   Time mArrival;
   Time mDeadline;
 
-  // ---- Owned by the pipeline.
+  // Second group: owned by the pipeline.
   RequestId mId = 0;
   std::uint64_t mNonce = 0;
   BackendClient::Ticket mTicket = 0;
--- a/src/agent/PolicyMeter.cpp
+++ b/src/agent/PolicyMeter.cpp
@@ -8,10 +8,10 @@
 
 namespace {
 
-/** Loads of a moment are whole requests on a few slots: the busiest host has
- * twice the mean by chance alone. Over 5 s (25 samples) chance is small beside
- * what a policy does. */
-constexpr int kWindow = 25;
+/** A single load sample counts whole requests on a few slots, so that the
+ * busiest host has twice the mean load by chance alone. Over 25 samples (5 s)
+ * chance is small compared to the effect of the policy. */
+constexpr int kWindowSamples = 25;
 
 const char* NameOf(Importance aImportance)
 {
@@ -33,9 +33,9 @@
   if (aName == mFigures.mName) {
     return;
   }
-  CloseTime(mClock.Now());
+  AccumulateTime(mClock.Now());
   if (!mFigures.mName.empty()) {
-    mPast.push_back(std::move(mFigures));
+    mPreviousPolicies.push_back(std::move(mFigures));
   }
   mFigures = {};
   mFigures.mName = aName;
@@ -70,18 +70,18 @@
   for (const auto& it : aHosts) {
     mWindow[it.mHost] += LoadPerSlot(it.mLoad);
   }
-  if (++mWindowSamples < kWindow) {
+  if (++mWindowSamples < kWindowSamples) {
     return;
   }
   double sum = 0;
-  double most = 0;
+  double max = 0;
   for (const auto& [host, load] : mWindow) {
     sum += load;
-    most = std::max(most, load);
+    max = std::max(max, load);
   }
   double mean = sum / static_cast<double>(mWindow.size());
   if (mean > 0) {
-    mFigures.mImbalanceSum += most / mean - 1;
+    mFigures.mImbalanceSum += max / mean - 1;
     ++mFigures.mImbalanceSamples;
   }
   mWindow.clear();
@@ -91,9 +91,9 @@
 std::vector<PolicyFigures> PolicyMeter::Take()
 {
   std::lock_guard lock(mLock);
-  CloseTime(mClock.Now());
-  std::vector<PolicyFigures> out = std::move(mPast);
-  mPast.clear();
+  AccumulateTime(mClock.Now());
+  std::vector<PolicyFigures> out = std::move(mPreviousPolicies);
+  mPreviousPolicies.clear();
   if (!mFigures.mName.empty()) {
     out.push_back(mFigures);
   }
@@ -103,7 +103,7 @@
   return out;
 }
 
-void PolicyMeter::CloseTime(Time aNow)
+void PolicyMeter::AccumulateTime(Time aNow)
 {
   mFigures.mSeconds += std::chrono::duration<double>(aNow - mSince).count();
   mSince = aNow;
--- a/src/agent/PolicyMeter.h
+++ b/src/agent/PolicyMeter.h
@@ -15,38 +15,40 @@
 
 namespace heatherplank {
 
-/** Counts at one host how the policy in force fares, for the report that
- * operators compare policies by. Thread safe, by its own lock.
+/** Measures the balancing policy in force at one host, for the report by which
+ * operators compare policies. Thread safe.
  */
 class PolicyMeter
 {
 public:
   explicit PolicyMeter(const Clock& aClock);
 
-  /** Another policy is in force from now on. */
+  /** Attributes later events to another policy. */
   void SetPolicy(const std::string& aName);
 
-  /** A request got its final answer aTook after it came. */
+  /** Records the final answer of a request, aTook after its arrival. */
   void OnAnswer(Importance aImportance, const Answer& aAnswer, Duration aTook);
 
-  /** Flows that were adopted here, and lost here, since the last call. */
+  /** Records the flows that this host adopted and lost since the last call. */
   void OnFlows(std::uint64_t aOpened, std::uint64_t aBroken);
 
-  /** The loads of the service's hosts at one moment, this one's included. */
+  /** Records one sample of the load of all hosts of the service, this one
+   * included. */
   void OnLoads(std::span<const Candidate> aHosts);
 
-  /** What was counted since the last call, one entry a policy. */
+  /** Returns and resets the figures since the last call, one entry per policy.
+   */
   std::vector<PolicyFigures> Take();
 
 private:
-  void CloseTime(Time aNow);
+  void AccumulateTime(Time aNow);
 
   const Clock& mClock;
   std::mutex mLock;
   PolicyFigures mFigures;
-  std::vector<PolicyFigures> mPast;
+  std::vector<PolicyFigures> mPreviousPolicies;
   Time mSince;
-  /** Loads summed up over the window, by host. */
+  /** Sum of the load samples in the window, by host. */
   std::map<HostId, double> mWindow;
   int mWindowSamples = 0;
 };
--- a/src/agent/RequestDispatch.cpp
+++ b/src/agent/RequestDispatch.cpp
@@ -1,5 +1,5 @@
-// What becomes of a request that was admitted: recorded, sent to the backend
-// server, tried elsewhere.
+// The part of RequestPipeline that handles admitted requests: it requests
+// grants, sends to the backend server and retries on other hosts.
 #include "src/agent/RequestPipeline.h"
 
 #include "src/agent/GrantRecorder.h"
@@ -19,17 +19,17 @@
            MakeNotRun(400, "idempotency_key_missing", Duration::zero()));
     return;
   }
-  mParts.mGrants.Request(aRequest->mRequest.mIdempotencyKey,
-                         aRequest->mRequest.mRequestId, aRequest->mDeadline,
-                         [this, aRequest](GrantDecision aDecision) {
-                           OnGrant(aRequest, std::move(aDecision));
-                         });
+  mParts.mGrants.RequestGrant(
+    aRequest->mRequest.mIdempotencyKey, aRequest->mRequest.mRequestId,
+    aRequest->mDeadline, [this, aRequest](GrantDecision aDecision) {
+      OnGrant(aRequest, std::move(aDecision));
+    });
 }
 
 void RequestPipeline::OnGrant(const PendingRequestPtr& aRequest,
                               GrantDecision aDecision)
 {
-  if (aDecision.mKind == GrantDecision::Kind::Settled) {
+  if (aDecision.mKind == GrantDecision::Kind::Denied) {
     Finish(aRequest, RunResult::Abandoned, std::move(aDecision.mAnswer));
     return;
   }
@@ -40,9 +40,9 @@
 void RequestPipeline::SendToBackend(const PendingRequestPtr& aRequest)
 {
   Duration left = aRequest->mDeadline - mParts.mClock.Now();
-  bool late = left <= Duration::zero();
-  // The process may have been paused since the grant was given; what the grant
-  // allowed then may be another host's now.
+  bool expired = left <= Duration::zero();
+  // This process may have been paused since it received the grant, and another
+  // host may hold the right to run the request by now.
   bool fenced = aRequest->mRule.mNeverRepeat &&
                 !mParts.mGrants.MayDispatch(aRequest->mNonce);
   bool cancelled = false;
@@ -50,11 +50,11 @@
     std::lock_guard lock(mLock);
     cancelled = aRequest->mCancelled;
   }
-  if (late || fenced || cancelled) {
+  if (expired || fenced || cancelled) {
     auto reason =
       cancelled ? RefusalReason::Cancelled : RefusalReason::DeadlinePassed;
     mRefusals[static_cast<std::size_t>(reason)]->Add();
-    SettleNotRun(aRequest, RunResult::Abandoned,
+    FinishNotRun(aRequest, RunResult::Abandoned,
                  MakeNotRun(503, ToString(reason), Duration::zero()));
     return;
   }
@@ -92,7 +92,7 @@
       return;
     case BackendResult::Lost:
       if (recorded) {
-        mParts.mGrants.OnUnknown(aRequest->mNonce);
+        mParts.mGrants.OnOutcomeUnknown(aRequest->mNonce);
       }
       Finish(aRequest, RunResult::TimedOut, std::move(aAnswer.mAnswer));
       return;
@@ -108,24 +108,24 @@
   HostId other;
   {
     std::lock_guard lock(mLock);
-    // A recorded request would first have to give its grant back; its caller
-    // comes back with the key, which costs no more.
-    bool mayMove = advice.mPlace == RetryPlace::OtherHost &&
-                   !aRequest->mRule.mNeverRepeat && !aRequest->mLent;
-    other = mayMove ? LightestPeer() : HostId{};
+    // A recorded request would first have to release its grant. A retry by the
+    // caller under the same key costs no more than that.
+    bool mayForward = advice.mPlace == RetryPlace::OtherHost &&
+                      !aRequest->mRule.mNeverRepeat && !aRequest->mLent;
+    other = mayForward ? LeastLoadedPeer() : HostId{};
     if (!other.IsNone() && !mRetries.TryRetry()) {
       other = {};
     }
   }
-  if (other.IsNone() || !mParts.mOutput.OnHandOn(aRequest, other)) {
-    SettleNotRun(aRequest, aResult, std::move(aAnswer));
+  if (other.IsNone() || !mParts.mOutput.OnForward(aRequest, other)) {
+    FinishNotRun(aRequest, aResult, std::move(aAnswer));
     return;
   }
   mRetried[static_cast<std::size_t>(advice.mReason)]->Add();
-  End(aRequest, aResult);
+  RemoveFromAdmission(aRequest, aResult);
 }
 
-HostId RequestPipeline::LightestPeer() const
+HostId RequestPipeline::LeastLoadedPeer() const
 {
   const Candidate* best = nullptr;
   for (const auto& it : mPeers) {
@@ -138,7 +138,7 @@
   return best == nullptr ? HostId{} : best->mHost;
 }
 
-void RequestPipeline::SettleNotRun(const PendingRequestPtr& aRequest,
+void RequestPipeline::FinishNotRun(const PendingRequestPtr& aRequest,
                                    RunResult aResult, Answer aAnswer)
 {
   if (!aRequest->mRule.mNeverRepeat) {
@@ -146,8 +146,8 @@
     return;
   }
   mParts.mGrants.OnNotRun(aRequest->mNonce, aAnswer,
-                          [this, aRequest, aResult](Answer aTold) {
-                            Finish(aRequest, aResult, std::move(aTold));
+                          [this, aRequest, aResult](Answer aFinal) {
+                            Finish(aRequest, aResult, std::move(aFinal));
                           });
 }
 
--- a/src/agent/RequestPipeline.cpp
+++ b/src/agent/RequestPipeline.cpp
@@ -9,25 +9,25 @@
 
 namespace {
 
-constexpr std::string_view kAdmission = "reservation";
+constexpr std::string_view kAdmissionPolicy = "reservation";
 
-unsigned StatusOf(RefusalReason aReason)
+unsigned HttpStatusOf(RefusalReason aReason)
 {
   return aReason == RefusalReason::OverShare ? 429 : 503;
 }
 
 } // namespace
 
-/** The admission's actions with the requests that they speak of, to be carried
- * out once the lock is free. */
-struct RequestPipeline::Decisions
+/** Admission actions with the requests that they refer to, executed after the
+ * lock is released. */
+struct RequestPipeline::ActionBatch
 {
-  struct Step
+  struct Entry
   {
     Action mAction;
     PendingRequestPtr mRequest;
   };
-  std::vector<Step> mSteps;
+  std::vector<Entry> mEntries;
 };
 
 RequestPipeline::RequestPipeline(const Parts& aParts, std::string aHost,
@@ -58,7 +58,7 @@
 void RequestPipeline::SetService(const Service& aService)
 {
   Time now = mParts.mClock.Now();
-  Decisions decisions;
+  ActionBatch batch;
   {
     std::lock_guard lock(mLock);
     mService = aService;
@@ -68,24 +68,24 @@
     if (mAdmission) {
       mAdmission->OnOptions(options, now, actions);
     } else {
-      mAdmission = std::move(*MakeAdmissionPolicy(kAdmission, options));
+      mAdmission = std::move(*MakeAdmissionPolicy(kAdmissionPolicy, options));
       if (mDraining) {
         mAdmission->OnDrain(now, actions);
       }
     }
-    decisions = Collect(actions);
+    batch = ResolveActions(actions);
   }
-  CarryOut(decisions);
+  Execute(batch);
 }
 
-RequestPipeline::Decisions RequestPipeline::Collect(
+RequestPipeline::ActionBatch RequestPipeline::ResolveActions(
   const Actions& aActions) const
 {
-  Decisions decisions;
+  ActionBatch batch;
   for (const auto& it : aActions) {
-    decisions.mSteps.push_back({ it, Find(it.mId) });
+    batch.mEntries.push_back({ it, Find(it.mId) });
   }
-  return decisions;
+  return batch;
 }
 
 bool RequestPipeline::Classify(PendingRequest& aRequest) const
@@ -109,7 +109,7 @@
 void RequestPipeline::Start(const PendingRequestPtr& aRequest)
 {
   Time now = mParts.mClock.Now();
-  Decisions decisions;
+  ActionBatch batch;
   {
     std::lock_guard lock(mLock);
     aRequest->mId = mNextId++;
@@ -122,18 +122,18 @@
         std::hash<Address>{}(aRequest->mFlow.mCaller), aRequest->mArrival,
         aRequest->mDeadline },
       now, actions);
-    decisions = Collect(actions);
+    batch = ResolveActions(actions);
   }
-  CarryOut(decisions);
+  Execute(batch);
 }
 
 void RequestPipeline::Cancel(const FlowKey& aFlow,
                              const std::string& aRequestId)
 {
   Time now = mParts.mClock.Now();
-  PendingRequestPtr waiting;
+  PendingRequestPtr unstarted;
   BackendClient::Ticket ticket = 0;
-  Decisions decisions;
+  ActionBatch batch;
   {
     std::lock_guard lock(mLock);
     auto it =
@@ -148,16 +148,16 @@
     request->mCancelled = true;
     Actions actions;
     if (mAdmission->OnCancel(request->mId, now, actions)) {
-      waiting = request;
+      unstarted = request;
       mRequests.erase(request->mId);
     } else if (request->mSent) {
       ticket = request->mTicket;
     }
-    decisions = Collect(actions);
+    batch = ResolveActions(actions);
   }
-  CarryOut(decisions);
-  if (waiting) {
-    Refuse(waiting, RefusalReason::Cancelled, Duration::zero());
+  Execute(batch);
+  if (unstarted) {
+    Refuse(unstarted, RefusalReason::Cancelled, Duration::zero());
   }
   if (ticket != 0) {
     mParts.mBackend.Cancel(ticket);
@@ -167,7 +167,7 @@
 void RequestPipeline::SetPeers(std::span<const Candidate> aPeers)
 {
   Time now = mParts.mClock.Now();
-  Decisions decisions;
+  ActionBatch batch;
   {
     std::lock_guard lock(mLock);
     mPeers.assign(aPeers.begin(), aPeers.end());
@@ -176,15 +176,15 @@
     }
     Actions actions;
     mAdmission->OnPeers(mPeers, now, actions);
-    decisions = Collect(actions);
+    batch = ResolveActions(actions);
   }
-  CarryOut(decisions);
+  Execute(batch);
 }
 
 void RequestPipeline::Drain()
 {
   Time now = mParts.mClock.Now();
-  Decisions decisions;
+  ActionBatch batch;
   {
     std::lock_guard lock(mLock);
     mDraining = true;
@@ -193,15 +193,15 @@
     }
     Actions actions;
     mAdmission->OnDrain(now, actions);
-    decisions = Collect(actions);
+    batch = ResolveActions(actions);
   }
-  CarryOut(decisions);
+  Execute(batch);
 }
 
 void RequestPipeline::Tick()
 {
   Time now = mParts.mClock.Now();
-  Decisions decisions;
+  ActionBatch batch;
   {
     std::lock_guard lock(mLock);
     if (!mAdmission) {
@@ -209,9 +209,9 @@
     }
     Actions actions;
     mAdmission->OnTick(now, actions);
-    decisions = Collect(actions);
+    batch = ResolveActions(actions);
   }
-  CarryOut(decisions);
+  Execute(batch);
 }
 
 HostLoad RequestPipeline::Load() const
@@ -226,7 +226,7 @@
   return mRequests.size();
 }
 
-PendingRequestPtr RequestPipeline::Take(RequestId aId)
+PendingRequestPtr RequestPipeline::Remove(RequestId aId)
 {
   std::lock_guard lock(mLock);
   auto it = mRequests.find(aId);
@@ -244,9 +244,9 @@
   return it == mRequests.end() ? nullptr : it->second;
 }
 
-void RequestPipeline::CarryOut(const Decisions& aDecisions)
+void RequestPipeline::Execute(const ActionBatch& aBatch)
 {
-  for (const auto& [action, request] : aDecisions.mSteps) {
+  for (const auto& [action, request] : aBatch.mEntries) {
     if (!request) {
       continue;
     }
@@ -256,12 +256,12 @@
         break;
       case ActionKind::Refuse:
       case ActionKind::Expire:
-        Take(request->mId);
+        Remove(request->mId);
         Refuse(request, action.mReason, action.mRetryAfter);
         break;
       case ActionKind::HandOn:
-        Take(request->mId);
-        if (mParts.mOutput.OnHandOn(request, action.mTarget)) {
+        Remove(request->mId);
+        if (mParts.mOutput.OnForward(request, action.mTarget)) {
           mRetried[static_cast<std::size_t>(action.mHandOnReason)]->Add();
         } else {
           Refuse(request, RefusalReason::NoHost, action.mRetryAfter);
@@ -274,14 +274,15 @@
 void RequestPipeline::Finish(const PendingRequestPtr& aRequest,
                              RunResult aResult, Answer aAnswer)
 {
-  Send(aRequest, std::move(aAnswer));
-  End(aRequest, aResult);
+  SendAnswer(aRequest, std::move(aAnswer));
+  RemoveFromAdmission(aRequest, aResult);
 }
 
-void RequestPipeline::End(const PendingRequestPtr& aRequest, RunResult aResult)
+void RequestPipeline::RemoveFromAdmission(const PendingRequestPtr& aRequest,
+                                          RunResult aResult)
 {
   Time now = mParts.mClock.Now();
-  Decisions decisions;
+  ActionBatch batch;
   {
     std::lock_guard lock(mLock);
     mRequests.erase(aRequest->mId);
@@ -289,19 +290,21 @@
     Duration took =
       aRequest->mSent ? now - aRequest->mDispatchedAt : Duration::zero();
     mAdmission->OnDone(aRequest->mId, aResult, took, now, actions);
-    decisions = Collect(actions);
+    batch = ResolveActions(actions);
   }
-  CarryOut(decisions);
+  Execute(batch);
 }
 
 void RequestPipeline::Refuse(const PendingRequestPtr& aRequest,
                              RefusalReason aReason, Duration aRetryAfter)
 {
   mRefusals[static_cast<std::size_t>(aReason)]->Add();
-  Send(aRequest, MakeNotRun(StatusOf(aReason), ToString(aReason), aRetryAfter));
+  SendAnswer(aRequest,
+             MakeNotRun(HttpStatusOf(aReason), ToString(aReason), aRetryAfter));
 }
 
-void RequestPipeline::Send(const PendingRequestPtr& aRequest, Answer aAnswer)
+void RequestPipeline::SendAnswer(const PendingRequestPtr& aRequest,
+                                 Answer aAnswer)
 {
   using Milliseconds = std::chrono::duration<double, std::milli>;
   Duration took = mParts.mClock.Now() - aRequest->mArrival;
--- a/src/agent/RequestPipeline.h
+++ b/src/agent/RequestPipeline.h
@@ -20,25 +20,27 @@
 class Histogram;
 class MetricsRegistry;
 
-/** What the pipeline gives back to the agent. Called with no lock held. */
+/** Receives answers and forwarded requests from the pipeline. Called with no
+ * lock held. */
 class RequestOutput
 {
 public:
   virtual ~RequestOutput() = default;
 
-  /** The final answer of a request; called once for each, unless it was handed
-   * on. */
+  /** Delivers the final answer of a request. Called exactly once for each
+   * request that was not forwarded. */
   virtual void OnAnswer(const PendingRequestPtr& aRequest, Answer aAnswer) = 0;
 
-  /** Another host shall run the request and answer it. False if it can't be
-   * reached; the pipeline then refuses the request. */
-  virtual bool OnHandOn(const PendingRequestPtr& aRequest, HostId aTarget) = 0;
+  /** Forwards a request to another host, which runs and answers it. Returns
+   * false if the request can't be forwarded; it then stays with the pipeline,
+   * which answers it. */
+  virtual bool OnForward(const PendingRequestPtr& aRequest, HostId aTarget) = 0;
 };
 
-/** The agent's filters from "this host owns the flow" to the answer: admit,
- * record, dispatch, answer. It carries the decisions out; what is decided
- * stands in src/decide and in the grant recorder. Thread safe, by one lock for
- * the host, since its slots are one resource.
+/** Processes the requests of flows that this host owns: admits them, records
+ * grants, dispatches to the backend server and answers. It executes decisions
+ * that src/decide and the grant recorder make. Thread safe; a single lock,
+ * since the host's slots are one resource.
  */
 class RequestPipeline
 {
@@ -56,24 +58,25 @@
   RequestPipeline(const Parts& aParts, std::string aHost, std::uint32_t aSlots);
   ~RequestPipeline();
 
-  /** Puts a service's rules in force. */
+  /** Applies a service's rules and admission options. */
   void SetService(const Service& aService);
 
-  /** The class of a request by the service's rules: rule and class index of
-   * aRequest are set. False if no service is in force yet. */
+  /** Sets the rule, class and deadline of aRequest by the service's rules.
+   * Returns false if no service is configured yet. */
   bool Classify(PendingRequest& aRequest) const;
 
-  /** Takes a request that this host owns. */
+  /** Submits a classified request to admission. Precondition: Classify returned
+   * true for it. */
   void Start(const PendingRequestPtr& aRequest);
 
-  /** The caller withdrew a request; its answer comes as for any other. */
+  /** Cancels a request that its caller withdrew; OnAnswer is still called. */
   void Cancel(const FlowKey& aFlow, const std::string& aRequestId);
 
-  /** Fresh figures of the other candidates. */
+  /** Updates the load and weight of the other candidates. */
   void SetPeers(std::span<const Candidate> aPeers);
 
-  /** What waits goes elsewhere or is refused from now on; what runs goes on.
-   */
+  /** From now on, forwards or refuses waiting requests. Running requests
+   * continue. */
   void Drain();
 
   /** Call every few milliseconds. */
@@ -81,34 +84,40 @@
 
   HostLoad Load() const;
 
-  /** Requests that wait or run. */
+  /** Number of requests that wait or run. */
   std::size_t Active() const;
 
 private:
-  struct Decisions;
+  struct ActionBatch;
 
-  /** Both under the lock. */
-  Decisions Collect(const Actions& aActions) const;
-  HostId LightestPeer() const;
+  /** Both require mLock. LeastLoadedPeer returns none if no peer has weight. */
+  ActionBatch ResolveActions(const Actions& aActions) const;
+  HostId LeastLoadedPeer() const;
 
-  PendingRequestPtr Take(RequestId aId);
+  PendingRequestPtr Remove(RequestId aId);
   PendingRequestPtr Find(RequestId aId) const;
-  void CarryOut(const Decisions& aDecisions);
+  void Execute(const ActionBatch& aBatch);
   void Dispatch(const PendingRequestPtr& aRequest);
   void OnGrant(const PendingRequestPtr& aRequest, GrantDecision aDecision);
   void SendToBackend(const PendingRequestPtr& aRequest);
   void OnBackend(const PendingRequestPtr& aRequest, BackendAnswer aAnswer);
-  /** It was not run here: another host may, or its caller is told. */
+  /** Handles a request that did not run here: forwards it to another host if
+   * the retry rules allow that, else answers "not run". */
   void RetryOrRefuse(const PendingRequestPtr& aRequest, AttemptEnd aEnd,
                      RunResult aResult, Answer aAnswer);
-  void SettleNotRun(const PendingRequestPtr& aRequest, RunResult aResult,
+  /** Answers "not run", after the grant recorder confirmed it for a recorded
+   * request. */
+  void FinishNotRun(const PendingRequestPtr& aRequest, RunResult aResult,
                     Answer aAnswer);
   void Finish(const PendingRequestPtr& aRequest, RunResult aResult,
               Answer aAnswer);
-  void End(const PendingRequestPtr& aRequest, RunResult aResult);
+  /** Removes the request and reports its result to admission, which may
+   * dispatch a waiting request into the freed slot. */
+  void RemoveFromAdmission(const PendingRequestPtr& aRequest,
+                           RunResult aResult);
   void Refuse(const PendingRequestPtr& aRequest, RefusalReason aReason,
               Duration aRetryAfter);
-  void Send(const PendingRequestPtr& aRequest, Answer aAnswer);
+  void SendAnswer(const PendingRequestPtr& aRequest, Answer aAnswer);
 
   Parts mParts;
   std::string mHost;
--- a/src/agent/RunOnceRecorder.cpp
+++ b/src/agent/RunOnceRecorder.cpp
@@ -13,12 +13,12 @@
 
 namespace {
 
-/** At 5 ms a tick: half a second. */
+/** Half a second at 5 ms a tick. */
 constexpr std::uint64_t kTicksPerExport = 100;
 
-/** Which of two replies must be believed: that it ran before that it may have,
- * and that before that it did not. */
-int Gravity(KeyKnowledge aKnowledge)
+/** Orders replies by the certainty that the request ran: "ran" takes precedence
+ * over "may have run", and that over "did not run". */
+int Precedence(KeyKnowledge aKnowledge)
 {
   switch (aKnowledge) {
     case KeyKnowledge::Answered:
@@ -54,7 +54,7 @@
 RunOnceRecorder::~RunOnceRecorder() = default;
 
 template<typename Change>
-void RunOnceRecorder::Do(const Change& aChange)
+void RunOnceRecorder::Apply(const Change& aChange)
 {
   Effects effects;
   {
@@ -65,12 +65,12 @@
   Perform(effects);
 }
 
-void RunOnceRecorder::Request(const std::string& aKey, const std::string&,
-                              Time aDeadline, Decided aDecided)
+void RunOnceRecorder::RequestGrant(const std::string& aKey, const std::string&,
+                                   Time aDeadline, DecisionCallback aOnDecision)
 {
-  Do([&](Effects&) {
+  Apply([&](Effects&) {
     RequestToken token = mNextToken++;
-    mOpen[token].mDecided = std::move(aDecided);
+    mOpenRequests[token].mOnDecision = std::move(aOnDecision);
     mRunOnce.Request(token, aKey, aDeadline, mParts.mClock.Now());
   });
 }
@@ -78,7 +78,7 @@
 bool RunOnceRecorder::MayDispatch(std::uint64_t aNonce)
 {
   bool allowed = false;
-  Do([&](Effects&) {
+  Apply([&](Effects&) {
     auto it = mAttempts.find(aNonce);
     if (it == mAttempts.end()) {
       return;
@@ -92,10 +92,10 @@
 
 void RunOnceRecorder::OnAnswered(std::uint64_t aNonce, const Answer& aAnswer)
 {
-  Do([&](Effects&) {
+  Apply([&](Effects&) {
     auto attempt = mAttempts.extract(aNonce);
     if (!attempt.empty()) {
-      mOpen.erase(attempt.mapped().mToken);
+      mOpenRequests.erase(attempt.mapped().mToken);
       mRunOnce.Answered(attempt.mapped().mKey, aNonce, PackAnswer(aAnswer),
                         mParts.mClock.Now());
     }
@@ -105,7 +105,7 @@
 void RunOnceRecorder::OnNotRun(std::uint64_t aNonce, const Answer& aAnswer,
                                std::function<void(Answer)> aDone)
 {
-  Do([&](Effects& aEffects) {
+  Apply([&](Effects& aEffects) {
     auto it = mAttempts.find(aNonce);
     if (it == mAttempts.end()) {
       aEffects.mCallbacks.push_back(
@@ -119,21 +119,21 @@
       mAttempts.erase(it);
       return;
     }
-    // Nothing was run under this nonce, and from here on nothing will be.
+    // No request ran under this nonce, and none will from now on.
     mRunOnce.RefusedByServer(attempt.mKey, aNonce, mParts.mClock.Now());
-    mOpen.erase(attempt.mToken);
+    mOpenRequests.erase(attempt.mToken);
     mAttempts.erase(it);
     aEffects.mCallbacks.push_back(
       [done = std::move(aDone), aAnswer] { done(aAnswer); });
   });
 }
 
-void RunOnceRecorder::OnUnknown(std::uint64_t aNonce)
+void RunOnceRecorder::OnOutcomeUnknown(std::uint64_t aNonce)
 {
-  Do([&](Effects&) {
+  Apply([&](Effects&) {
     auto attempt = mAttempts.extract(aNonce);
     if (!attempt.empty()) {
-      mOpen.erase(attempt.mapped().mToken);
+      mOpenRequests.erase(attempt.mapped().mToken);
       mRunOnce.LostSight(attempt.mapped().mKey, aNonce, mParts.mClock.Now());
     }
   });
@@ -141,16 +141,16 @@
 
 void RunOnceRecorder::Tick()
 {
-  Do([&](Effects&) {
+  Apply([&](Effects&) {
     Time now = mParts.mClock.Now();
     mRunOnce.OnTick(now);
-    for (auto it = mRounds.begin(); it != mRounds.end();) {
-      if (it->second.mUntil > now) {
+    for (auto it = mPeerQueries.begin(); it != mPeerQueries.end();) {
+      if (it->second.mDeadline > now) {
         ++it;
         continue;
       }
-      mRunOnce.OnPeers(it->second.mKey, it->second.mGravest, false, now);
-      it = mRounds.erase(it);
+      mRunOnce.OnPeers(it->second.mKey, it->second.mStrongest, false, now);
+      it = mPeerQueries.erase(it);
     }
   });
   if (++mTicks % kTicksPerExport == 0) {
@@ -162,7 +162,7 @@
 {
   if (aFrame.mKind == MessageKind::KeyQuestion) {
     if (auto question = DecodeKeyQuestion(aFrame.mPayload)) {
-      OnQuestion(*question, aFrom);
+      OnKeyQuestion(*question, aFrom);
       return true;
     }
   } else if (aFrame.mKind == MessageKind::KeyAnswer) {
@@ -182,14 +182,14 @@
 {
   if (aFrame.mKind == MessageKind::ShardWishes) {
     if (auto wishes = DecodeShardWishes(aFrame.mPayload)) {
-      Do([&](Effects&) {
+      Apply([&](Effects&) {
         mRunOnce.OnWishes(wishes->mWishes, mParts.mClock.Now());
       });
       return true;
     }
   } else if (aFrame.mKind == MessageKind::ShardOutcomes) {
     if (auto outcomes = DecodeShardOutcomes(aFrame.mPayload)) {
-      Do([&](Effects&) {
+      Apply([&](Effects&) {
         mRunOnce.OnOutcomes(outcomes->mOutcomes, outcomes->mRetryAfter,
                             mParts.mClock.Now());
       });
@@ -211,7 +211,7 @@
       hosts.push_back(it.mHost);
     }
   }
-  Do([&](Effects&) { mRunOnce.SetHomes(hosts); });
+  Apply([&](Effects&) { mRunOnce.SetHomes(hosts); });
 }
 
 void RunOnceRecorder::Send(const AskHome& aMessage)
@@ -237,10 +237,10 @@
   }
 }
 
-void RunOnceRecorder::OnQuestion(const KeyQuestion& aQuestion,
-                                 const Address& aFrom)
+void RunOnceRecorder::OnKeyQuestion(const KeyQuestion& aQuestion,
+                                    const Address& aFrom)
 {
-  Do([&](Effects& aEffects) {
+  Apply([&](Effects& aEffects) {
     KeyAnswer answer{ aQuestion.mTicket, mSelf.mService, aQuestion.mKey, {} };
     answer.mReply =
       mRunOnce.OnQuestion(aQuestion.mKey, aQuestion.mNonce,
@@ -252,21 +252,21 @@
 
 void RunOnceRecorder::OnKeyAnswer(const KeyAnswer& aAnswer)
 {
-  Do([&](Effects&) {
+  Apply([&](Effects&) {
     Time now = mParts.mClock.Now();
-    auto it = mRounds.find(aAnswer.mTicket);
-    if (it == mRounds.end()) {
+    auto it = mPeerQueries.find(aAnswer.mTicket);
+    if (it == mPeerQueries.end()) {
       mRunOnce.OnReply(aAnswer.mKey, aAnswer.mReply, now);
       return;
     }
-    Round& round = it->second;
-    if (Gravity(aAnswer.mReply.mKnowledge) >
-        Gravity(round.mGravest.mKnowledge)) {
-      round.mGravest = aAnswer.mReply;
+    PeerQuery& query = it->second;
+    if (Precedence(aAnswer.mReply.mKnowledge) >
+        Precedence(query.mStrongest.mKnowledge)) {
+      query.mStrongest = aAnswer.mReply;
     }
-    if (--round.mWaiting == 0) {
-      mRunOnce.OnPeers(round.mKey, round.mGravest, true, now);
-      mRounds.erase(it);
+    if (--query.mPendingReplies == 0) {
+      mRunOnce.OnPeers(query.mKey, query.mStrongest, true, now);
+      mPeerQueries.erase(it);
     }
   });
 }
@@ -276,16 +276,16 @@
   for (auto actions = mRunOnce.TakeActions(); !actions.empty();
        actions = mRunOnce.TakeActions()) {
     for (const auto& it : actions) {
-      std::visit([&](const auto& aAction) { Take(aAction, aEffects); }, it);
+      std::visit([&](const auto& aAction) { Handle(aAction, aEffects); }, it);
     }
   }
   aEffects.mHomeMessages = mRunOnce.TakeHomeMessages();
 }
 
-void RunOnceRecorder::Take(const Granted& aAction, Effects& aEffects)
+void RunOnceRecorder::Handle(const Granted& aAction, Effects& aEffects)
 {
-  auto it = mOpen.find(aAction.mRequest);
-  if (it == mOpen.end()) {
+  auto it = mOpenRequests.find(aAction.mRequest);
+  if (it == mOpenRequests.end()) {
     return;
   }
   it->second.mNonce = aAction.mNonce;
@@ -293,34 +293,34 @@
   GrantDecision decision;
   decision.mKind = GrantDecision::Kind::Granted;
   decision.mNonce = aAction.mNonce;
-  aEffects.mCallbacks.push_back([decided = std::move(it->second.mDecided),
+  aEffects.mCallbacks.push_back([decided = std::move(it->second.mOnDecision),
                                  decision] { decided(decision); });
 }
 
-void RunOnceRecorder::Take(const Duplicate& aAction, Effects& aEffects)
+void RunOnceRecorder::Handle(const Duplicate& aAction, Effects& aEffects)
 {
   auto answer = UnpackAnswer(aAction.mAnswer);
-  Settle(aAction.mRequest,
-         answer ? std::move(*answer) : MakeUnknown("kept_answer_unreadable"),
-         aEffects);
+  Resolve(aAction.mRequest,
+          answer ? std::move(*answer) : MakeUnknown("kept_answer_unreadable"),
+          aEffects);
 }
 
-void RunOnceRecorder::Take(const NotRun& aAction, Effects& aEffects)
+void RunOnceRecorder::Handle(const NotRun& aAction, Effects& aEffects)
 {
   Duration retryAfter = aAction.mRetryAfter;
-  Settle(aAction.mRequest,
-         MakeNotRun(503, ToString(aAction.mReason), retryAfter), aEffects);
+  Resolve(aAction.mRequest,
+          MakeNotRun(503, ToString(aAction.mReason), retryAfter), aEffects);
 }
 
-void RunOnceRecorder::Take(const Unknown& aAction, Effects& aEffects)
+void RunOnceRecorder::Handle(const Unknown& aAction, Effects& aEffects)
 {
-  Settle(aAction.mRequest, MakeUnknown(ToString(aAction.mReason)), aEffects);
+  Resolve(aAction.mRequest, MakeUnknown(ToString(aAction.mReason)), aEffects);
 }
 
-void RunOnceRecorder::Settle(RequestToken aToken, Answer aAnswer,
-                             Effects& aEffects)
+void RunOnceRecorder::Resolve(RequestToken aToken, Answer aAnswer,
+                              Effects& aEffects)
 {
-  auto open = mOpen.extract(aToken);
+  auto open = mOpenRequests.extract(aToken);
   if (open.empty()) {
     return;
   }
@@ -328,15 +328,15 @@
   if (request.mNonce == 0) {
     GrantDecision decision;
     decision.mAnswer = std::move(aAnswer);
-    aEffects.mCallbacks.push_back(
-      [decided = std::move(request.mDecided), decision] { decided(decision); });
+    aEffects.mCallbacks.push_back([decided = std::move(request.mOnDecision),
+                                   decision] { decided(decision); });
     return;
   }
-  // Granted before, and now known not to have run.
+  // Granted earlier; RunOnce has decided since that it did not run.
   mAttempts[request.mNonce].mNotRun = std::move(aAnswer);
 }
 
-void RunOnceRecorder::Take(const AskHolder& aAction, Effects& aEffects)
+void RunOnceRecorder::Handle(const AskHolder& aAction, Effects& aEffects)
 {
   ServiceViewPtr view = mParts.mView();
   const Member* holder = view ? view->Find(aAction.mGrant.mHost) : nullptr;
@@ -350,34 +350,34 @@
     EncodeDatagram(MessageKind::KeyQuestion, EncodePayload(question)));
 }
 
-void RunOnceRecorder::Take(const AskPeers& aAction, Effects& aEffects)
+void RunOnceRecorder::Handle(const AskPeers& aAction, Effects& aEffects)
 {
   ServiceViewPtr view = mParts.mView();
   Time now = mParts.mClock.Now();
   std::uint64_t ticket = mNextTicket++;
-  Round round;
-  round.mKey = aAction.mKey;
-  round.mUntil = now + mOptions.mPeerWait;
+  PeerQuery query;
+  query.mKey = aAction.mKey;
+  query.mDeadline = now + mOptions.mPeerWait;
   KeyQuestion question{ ticket, mSelf.mService, aAction.mKey, 0, 0 };
   Bytes datagram =
     EncodeDatagram(MessageKind::KeyQuestion, EncodePayload(question));
   if (view) {
     for (const auto& it : view->Members()) {
       if (it.mHost != mSelf.mHost && it.mState != HostState::Leaving) {
-        ++round.mWaiting;
+        ++query.mPendingReplies;
         aEffects.mDatagrams.emplace_back(it.mTunnel, datagram);
       }
     }
   }
-  if (round.mWaiting == 0) {
-    // Without a view nobody can say that there are no peers.
+  if (query.mPendingReplies == 0) {
+    // Only with a view is it known that there are no peers.
     mRunOnce.OnPeers(aAction.mKey, {}, view != nullptr, now);
     return;
   }
-  mRounds[ticket] = std::move(round);
+  mPeerQueries[ticket] = std::move(query);
 }
 
-void RunOnceRecorder::Take(const StoreCall& aAction, Effects& aEffects)
+void RunOnceRecorder::Handle(const StoreCall& aAction, Effects& aEffects)
 {
   aEffects.mCalls.push_back(aAction);
 }
@@ -404,16 +404,18 @@
   if (aCall.mIsWrite) {
     mParts.mStore->Put(aCall.mObject, aCall.mValue, aCall.mCondition,
                        [this, ticket](const Result<std::uint64_t>& aResult) {
-                         Do([&](Effects&) {
+                         Apply([&](Effects&) {
                            mRunOnce.OnPut(ticket, aResult, mParts.mClock.Now());
                          });
                        });
     return;
   }
-  mParts.mStore->Get(aCall.mObject, [this,
-                                     ticket](const Result<Object>& aResult) {
-    Do([&](Effects&) { mRunOnce.OnGet(ticket, aResult, mParts.mClock.Now()); });
-  });
+  mParts.mStore->Get(aCall.mObject,
+                     [this, ticket](const Result<Object>& aResult) {
+                       Apply([&](Effects&) {
+                         mRunOnce.OnGet(ticket, aResult, mParts.mClock.Now());
+                       });
+                     });
 }
 
 void RunOnceRecorder::ExportCounters()
--- a/src/agent/RunOnceRecorder.h
+++ b/src/agent/RunOnceRecorder.h
@@ -25,8 +25,9 @@
 struct KeyAnswer;
 struct KeyQuestion;
 
-/** Drives RunOnce: platform calls, questions between agents, time. Thread safe,
- * by one lock: at most a few hundred keys a second.
+/** Drives RunOnce: performs its platform calls and queries between agents, and
+ * passes it the time. Thread safe; one lock suffices for the few hundred keys a
+ * second that occur at most.
  */
 class RunOnceRecorder final : public GrantRecorder
 {
@@ -35,11 +36,11 @@
   {
     const Clock& mClock;
     MetricsRegistry& mMetrics;
-    /** Shared, since calls may be under way when the recorder ends. */
+    /** Shared, since calls may be in flight when the recorder is destroyed. */
     std::shared_ptr<ObjectStore> mStore;
     DatagramSocket& mTunnel;
     ControlLinks& mLinks;
-    /** The present view of the service; may be null. */
+    /** Returns the current view of the service, which may be null. */
     std::function<ServiceViewPtr()> mView;
   };
 
@@ -47,23 +48,23 @@
                   const RunOnceOptions& aOptions);
   ~RunOnceRecorder() override;
 
-  void Request(const std::string& aKey, const std::string& aRequestId,
-               Time aDeadline, Decided aDecided) override;
+  void RequestGrant(const std::string& aKey, const std::string& aRequestId,
+                    Time aDeadline, DecisionCallback aOnDecision) override;
   bool MayDispatch(std::uint64_t aNonce) override;
   void OnAnswered(std::uint64_t aNonce, const Answer& aAnswer) override;
   void OnNotRun(std::uint64_t aNonce, const Answer& aAnswer,
                 std::function<void(Answer)> aDone) override;
-  void OnUnknown(std::uint64_t aNonce) override;
+  void OnOutcomeUnknown(std::uint64_t aNonce) override;
 
-  /** Takes a question or an answer of another agent; false if the datagram is
-   * of another kind. Malformed ones are counted. */
+  /** Handles another agent's query about a key, or its reply. Returns false if
+   * the datagram is of another kind. Malformed datagrams are counted. */
   bool OnDatagram(const Frame& aFrame, const Address& aFrom);
 
-  /** Takes a frame about shards of grants; false if it is of another kind.
-   * Malformed ones are counted. */
+  /** Handles a frame about grant shards. Returns false if it is of another
+   * kind. Malformed frames are counted. */
   bool OnFrame(const Frame& aFrame);
 
-  /** The members of the service changed. */
+  /** Updates the hosts that grant shards are assigned to. */
   void OnView(const ServiceView& aView);
 
   /** Call every few milliseconds. */
@@ -72,8 +73,8 @@
 private:
   struct OpenRequest
   {
-    Decided mDecided;
-    /** Set once it was granted. */
+    DecisionCallback mOnDecision;
+    /** Zero until the request is granted. */
     Nonce mNonce = 0;
   };
   struct Attempt
@@ -81,18 +82,18 @@
     RequestToken mToken = 0;
     std::string mKey;
     bool mMayHaveRun = false;
-    /** "Not run" was decided before it was asked for. */
+    /** The final answer, if RunOnce decided "not run" before OnNotRun. */
     std::optional<Answer> mNotRun;
   };
-  /** A round of questions to all peers about a key. */
-  struct Round
+  /** A query about a key that was sent to all peers. */
+  struct PeerQuery
   {
     std::string mKey;
-    std::size_t mWaiting = 0;
-    KeyReply mGravest;
-    Time mUntil{};
+    std::size_t mPendingReplies = 0;
+    KeyReply mStrongest;
+    Time mDeadline{};
   };
-  /** What is left to do once the lock is free. */
+  /** Calls, messages and callbacks to perform after the lock is released. */
   struct Effects
   {
     std::vector<StoreCall> mCalls;
@@ -101,23 +102,24 @@
     std::vector<std::function<void()>> mCallbacks;
   };
 
+  /** Runs aChange under the lock, then performs the effects. */
   template<typename Change>
-  void Do(const Change& aChange);
+  void Apply(const Change& aChange);
   void Collect(Effects& aEffects);
-  void Take(const Granted& aAction, Effects& aEffects);
-  void Take(const Duplicate& aAction, Effects& aEffects);
-  void Take(const NotRun& aAction, Effects& aEffects);
-  void Take(const Unknown& aAction, Effects& aEffects);
-  void Take(const AskHolder& aAction, Effects& aEffects);
-  void Take(const AskPeers& aAction, Effects& aEffects);
-  void Take(const StoreCall& aAction, Effects& aEffects);
-  void Settle(RequestToken aToken, Answer aAnswer, Effects& aEffects);
+  void Handle(const Granted& aAction, Effects& aEffects);
+  void Handle(const Duplicate& aAction, Effects& aEffects);
+  void Handle(const NotRun& aAction, Effects& aEffects);
+  void Handle(const Unknown& aAction, Effects& aEffects);
+  void Handle(const AskHolder& aAction, Effects& aEffects);
+  void Handle(const AskPeers& aAction, Effects& aEffects);
+  void Handle(const StoreCall& aAction, Effects& aEffects);
+  void Resolve(RequestToken aToken, Answer aAnswer, Effects& aEffects);
   void Perform(Effects& aEffects);
   void Send(const AskHome& aMessage);
   void Send(const TellAgent& aMessage);
   void SendTo(HostId aHost, MessageKind aKind, const Bytes& aPayload);
   void Send(const StoreCall& aCall);
-  void OnQuestion(const KeyQuestion& aQuestion, const Address& aFrom);
+  void OnKeyQuestion(const KeyQuestion& aQuestion, const Address& aFrom);
   void OnKeyAnswer(const KeyAnswer& aAnswer);
   void ExportCounters();
 
@@ -128,9 +130,9 @@
   RunOnce mRunOnce;
   RequestToken mNextToken = 1;
   std::uint64_t mNextTicket = 1;
-  std::unordered_map<RequestToken, OpenRequest> mOpen;
+  std::unordered_map<RequestToken, OpenRequest> mOpenRequests;
   std::unordered_map<Nonce, Attempt> mAttempts;
-  std::map<std::uint64_t, Round> mRounds;
+  std::map<std::uint64_t, PeerQuery> mPeerQueries;
   std::vector<std::uint64_t> mExported;
   std::uint64_t mExportedWrites = 0;
   std::uint64_t mExportedReads = 0;
--- a/src/agent/SlowStarts.cpp
+++ b/src/agent/SlowStartTracker.cpp
@@ -1,22 +1,22 @@
-#include "src/agent/SlowStarts.h"
+#include "src/agent/SlowStartTracker.h"
 
 #include "src/decide/SlowStart.h"
 
 namespace heatherplank {
 
-SlowStarts::SlowStarts()
+SlowStartTracker::SlowStartTracker()
   : mSlowStart(std::move(*MakeSlowStart("time")))
 {
 }
 
-SlowStarts::~SlowStarts() = default;
+SlowStartTracker::~SlowStartTracker() = default;
 
-void SlowStarts::OnView(const ServiceView& aView, Time aNow)
+void SlowStartTracker::OnView(const ServiceView& aView, Time aNow)
 {
   std::lock_guard lock(mLock);
   for (const auto& it : aView.Members()) {
     Incarnation& known = mKnown[it.mHost];
-    // What stood in the first view may have served for long.
+    // Hosts in the first view may have been serving for a long time.
     if (mHasView && known != it.mIncarnation) {
       mSlowStart->OnStart(it.mHost, aNow);
     }
@@ -25,7 +25,7 @@
   mHasView = true;
 }
 
-double SlowStarts::Share(HostId aHost, Time aNow) const
+double SlowStartTracker::Share(HostId aHost, Time aNow) const
 {
   std::lock_guard lock(mLock);
   return mSlowStart->Weight(aHost, aNow);
--- a/src/agent/SlowStarts.h
+++ b/src/agent/SlowStartTracker.h
@@ -11,21 +11,20 @@
 
 class SlowStart;
 
-/** Tells the slow start which hosts came up while this agent looked on. The
- * weight stays out of the rendezvous rank, since a rank that grows for ten
- * seconds would move arbiters about for ten seconds. Thread safe, by its own
- * lock.
+/** Starts the slow start of hosts that start while this agent runs. The weight
+ * is no part of the rendezvous rank: a rank that grows for ten seconds would
+ * move arbiters between hosts for ten seconds. Thread safe.
  */
-class SlowStarts
+class SlowStartTracker
 {
 public:
-  SlowStarts();
-  ~SlowStarts();
+  SlowStartTracker();
+  ~SlowStartTracker();
 
-  /** Takes the present view. */
+  /** Detects started hosts by new incarnations in the view. */
   void OnView(const ServiceView& aView, Time aNow);
 
-  /** The share of work that a host may get, above 0 to 1. */
+  /** The share of work that a host may get; above 0, at most 1. */
   double Share(HostId aHost, Time aNow) const;
 
 private:
--- a/tests/AnswerStoreTest.cpp
+++ b/tests/AnswerStoreTest.cpp
@@ -31,9 +31,9 @@
   FlowKey mFlow = MakeFlow(1);
 };
 
-// A caller repeats a datagram because its answer was lost. The request must
-// not run again: it gets the kept answer, or waits for the one in progress.
-TEST(AnswerStore, KnowsARepeatFromANewRequest)
+// A caller retransmits a request because the answer was lost. The request must
+// not run again: it gets the retained answer, or that of the run in progress.
+TEST(AnswerStore, DetectsRepeatedRequestOfTheSameFlow)
 {
   CHECK_TRUE(mStore.Begin(mFlow, "r") == RequestState::New);
   CHECK_TRUE(mStore.Begin(mFlow, "r") == RequestState::InProgress);
@@ -43,7 +43,7 @@
   STRCMP_EQUAL("abc", mStore.Find(mFlow, "r")->mBody.c_str());
 }
 
-TEST(AnswerStore, ForgetsAfterTheRetention)
+TEST(AnswerStore, ExpiresAnswerAfterRetention)
 {
   mStore.Finish(mFlow, "r", MakeBody(3), mClock.Now());
   mClock.Advance(AnswerStore::kRetention - std::chrono::milliseconds(1));
@@ -52,24 +52,24 @@
   mClock.Advance(std::chrono::milliseconds(1));
   mStore.Expire(mClock.Now());
   CHECK_TRUE(mStore.Find(mFlow, "r") == nullptr);
-  CHECK_EQUAL(0, mStore.BytesKept());
+  CHECK_EQUAL(0, mStore.RetainedBytes());
 }
 
-TEST(AnswerStore, DropsTheOldestForRoomAndKeepsWhatIsInProgress)
+TEST(AnswerStore, EvictsOldestAnswersButNoRequestInProgress)
 {
   (void)mStore.Begin(mFlow, "running");
   for (int i = 0; i < 100; ++i) {
     mStore.Finish(mFlow, std::to_string(i), MakeBody(1000), mClock.Now());
   }
-  CHECK_TRUE(mStore.BytesKept() <= 10000);
+  CHECK_TRUE(mStore.RetainedBytes() <= 10000);
   CHECK_TRUE(mStore.Find(mFlow, "0") == nullptr);
   CHECK_TRUE(mStore.Find(mFlow, "99") != nullptr);
   CHECK_TRUE(mStore.Begin(mFlow, "running") == RequestState::InProgress);
 }
 
-// A host drains: the flow's next owner must answer a repeated request with the
-// kept answer, or a claim would run twice.
-TEST(AnswerStore, AnswersMoveWithTheFlow)
+// Guards against a request that runs twice when a host drains: the flow's next
+// owner must answer a repeated request with the retained answer.
+TEST(AnswerStore, ImportRestoresExportedAnswers)
 {
   Answer refusal = MakeNotRun(503, "queue_full", std::chrono::seconds(2));
   mStore.Finish(mFlow, "a", MakeBody(5), mClock.Now());
@@ -81,7 +81,7 @@
   CHECK_FALSE(next.Import(mFlow, Bytes(16, 0xee), mClock.Now()));
 }
 
-TEST(AnswerStore, CutsALargeAnswerIntoStableRanges)
+TEST(AnswerStore, SplitsLargeAnswerIntoStableRanges)
 {
   Answer answer = MakeBody(3000);
   auto all = WriteAnswer(answer, "r", 9, {});
--- a/tests/PolicyMeterTest.cpp
+++ b/tests/PolicyMeterTest.cpp
@@ -9,8 +9,9 @@
   ManualClock mClock;
   PolicyMeter mMeter{ mClock };
 
-  /** One of two hosts is busy, the first for every second sample. */
-  void Sample(int aSamples, bool aAlternates)
+  /** Records samples of two hosts with one busy: the first in all samples, or
+   * each in turn if aAlternates. */
+  void RecordSamples(int aSamples, bool aAlternates)
   {
     for (int i = 0; i < aSamples; ++i) {
       Candidate one;
@@ -25,19 +26,20 @@
   }
 };
 
-// Two hosts take turns, each busy half of the time. By moments the busiest has
-// twice the mean load, as if all work went to one host; the report showed 1.2
-// to 1.5 for every policy.
-TEST(PolicyMeter, ImbalanceIsNotThatOfMoments)
+// Guards against imbalance computed from single samples: of two hosts that are
+// busy in turn, each sample shows the busiest with twice the mean load, as if
+// one host had all the work. The report then showed 1.2 to 1.5 for every
+// policy.
+TEST(PolicyMeter, AveragesLoadOverTheWindow)
 {
   mMeter.SetPolicy("random");
-  Sample(25, true);
+  RecordSamples(25, true);
   DOUBLES_EQUAL(0.04, mMeter.Take().at(0).Imbalance(), 0.01);
-  Sample(25, false);
+  RecordSamples(25, false);
   DOUBLES_EQUAL(1.0, mMeter.Take().at(0).Imbalance(), 0.01);
 }
 
-TEST(PolicyMeter, CountsForThePolicyInForce)
+TEST(PolicyMeter, AttributesAnswersToThePolicyInForce)
 {
   mMeter.SetPolicy("random");
   mClock.Advance(std::chrono::seconds(3));
