--- a/src/passthrough/ColdRate.h
+++ b/src/passthrough/ColdRate.h
@@ -9,61 +9,61 @@
 
 namespace heatherplank {
 
-/** Bounds the new flows that a cold host is given in any span of a second.
+/** Limits the new flows that a cold host is given in any window of one second.
  *
- * Pattern: the hosts of a data centre return together, empty caches and all,
- * and every caller's flow is sent to them because they are the freest. Above
- * what they bear they fall over again. The host's agent counts, since it alone
- * sees what comes from all balancers; what it turns away goes to the next
- * candidate. Where all hosts are cold the last part of the rate is for
- * important flows.
+ * Pattern: the hosts of a data centre restart together with empty caches, and
+ * all new flows are sent to them because they are the least loaded. A rate
+ * above their capacity makes them fail again. The host's agent applies the
+ * limit, since only the agent sees the flows from all balancers; a flow above
+ * the limit is forwarded to the next candidate. The last part of the rate is
+ * reserved for important flows, for the case that all hosts are cold.
  *
- * Pure; not thread safe.
+ * No I/O or clock access; not thread safe.
  */
 class ColdRate
 {
 public:
-  static constexpr Duration kSpan = std::chrono::seconds(1);
-  /** Share of the rate that flows below High importance may take. */
+  static constexpr Duration kWindow = std::chrono::seconds(1);
+  /** Share of the rate available to flows below High importance. */
   static constexpr double kOrdinaryShare = 0.8;
 
-  /** aStartedAt: this process's start. What its former life took is not known,
-   * so its first span counts as used up. */
+  /** aStartedAt: start of this process. The flows admitted before a restart are
+   * unknown, so the first window counts as used up. */
   explicit ColdRate(Time aStartedAt)
     : mStartedAt(aStartedAt)
   {
   }
 
-  /** Whether a cold host takes one more flow. aPerSecond: what it bears; 0 is
-   * no bound. */
+  /** Whether a cold host may be given one more flow. aPerSecond: flows a second
+   * that a cold host can serve; 0 means no limit. */
   bool Allows(double aPerSecond, Importance aImportance, Time aNow) const
   {
     if (aPerSecond <= 0) {
       return true;
     }
-    if (aNow - mStartedAt < kSpan) {
+    if (aNow - mStartedAt < kWindow) {
       return false;
     }
     double share = aImportance >= Importance::High ? 1 : kOrdinaryShare;
-    auto most =
+    auto limit =
       std::max<std::size_t>(1, static_cast<std::size_t>(aPerSecond * share));
     auto recent = std::ranges::count_if(
-      mTaken, [&](Time aIt) { return aNow - aIt < kSpan; });
-    return static_cast<std::size_t>(recent) < most;
+      mAdmittedAt, [&](Time aIt) { return aNow - aIt < kWindow; });
+    return static_cast<std::size_t>(recent) < limit;
   }
 
-  /** A flow was given to the host, cold or not. */
-  void OnTaken(Time aNow)
+  /** Records a flow given to the host, cold or not. */
+  void OnAdmitted(Time aNow)
   {
-    while (!mTaken.empty() && aNow - mTaken.front() >= kSpan) {
-      mTaken.pop_front();
+    while (!mAdmittedAt.empty() && aNow - mAdmittedAt.front() >= kWindow) {
+      mAdmittedAt.pop_front();
     }
-    mTaken.push_back(aNow);
+    mAdmittedAt.push_back(aNow);
   }
 
 private:
   const Time mStartedAt;
-  std::deque<Time> mTaken;
+  std::deque<Time> mAdmittedAt;
 };
 
 } // namespace heatherplank
--- a/src/passthrough/DrainLease.h
+++ b/src/passthrough/DrainLease.h
@@ -7,50 +7,50 @@
 
 namespace heatherplank {
 
-/** What an agent knows of a drain of its data centre. Balancers answer each of
- * its heartbeats with a notice while the drain lasts, and it holds for a while
- * after the last one.
+/** An agent's view of whether its data centre is drained. Balancers reply to
+ * each of its heartbeats with a notice while the drain lasts; the drain expires
+ * kDuration after the last notice.
  *
- * Failure met: a balancer that is cut off from the store and the others still
- * names hosts of a data centre that the operator drains. The agent refuses it,
- * as long as one balancer that knows better is heard. An offer of a balancer
- * that knows a later state than the notice ends the drain at once, and a
- * notice from before that state is not believed any more.
+ * Failure met: a balancer that is isolated from the store and the other
+ * balancers still offers flows to hosts of a data centre that the operator
+ * drains. The agent rejects them as long as it receives notices from a balancer
+ * with current state. An offer with a newer version than the notice's ends the
+ * drain at once; later notices with an older version are ignored.
  *
- * Pure; not thread safe.
+ * No I/O or clock access; not thread safe.
  */
 class DrainLease
 {
 public:
-  /** Some six heartbeats. */
-  static constexpr Duration kHeldFor = std::chrono::milliseconds(3000);
+  /** About six heartbeat intervals. */
+  static constexpr Duration kDuration = std::chrono::milliseconds(3000);
 
-  /** A balancer says that the data centre is drained as of aVersion. */
+  /** A balancer reports that the data centre is drained as of aVersion. */
   void OnNotice(std::uint64_t aVersion, Time aNow)
   {
     if (aVersion >= mVersion) {
       mVersion = aVersion;
-      mUntil = aNow + kHeldFor;
+      mExpiresAt = aNow + kDuration;
     }
   }
 
-  /** A balancer that knows aVersion names this host for a new flow. */
+  /** A balancer with state aVersion offers a new flow to this host. */
   void OnOffer(std::uint64_t aVersion, Time aNow)
   {
     if (aVersion > mVersion) {
       mVersion = aVersion;
-      mUntil = std::min(mUntil, aNow);
+      mExpiresAt = std::min(mExpiresAt, aNow);
     }
   }
 
-  bool IsDrained(Time aNow) const { return aNow < mUntil; }
+  bool IsDrained(Time aNow) const { return aNow < mExpiresAt; }
 
-  /** When the last drain ended or will end; zero if there was none. */
-  Time Until() const { return mUntil; }
+  /** When the last drain expired or will expire; zero if there was none. */
+  Time ExpiresAt() const { return mExpiresAt; }
 
 private:
   std::uint64_t mVersion = 0;
-  Time mUntil{};
+  Time mExpiresAt{};
 };
 
 } // namespace heatherplank
--- a/src/passthrough/FlowAdmission.cpp
+++ b/src/passthrough/FlowAdmission.cpp
@@ -13,8 +13,8 @@
 
 bool FlowAdmission::HasFreeSlot(const HostCondition& aHost) const
 {
-  // A cold host works at a fraction of its speed: one request at a time keeps
-  // its answers within the target while others have slots.
+  // A cold host works at a fraction of its speed. One slot less keeps its
+  // answers within the target while other hosts have free slots.
   std::uint32_t slots =
     aHost.mIsCold && aHost.mSlots > 1 ? aHost.mSlots - 1 : aHost.mSlots;
   return aHost.mInProgress < slots;
@@ -28,9 +28,9 @@
   }
   bool important = aOffer.mImportance >= Importance::High;
   double perSlot =
-    mOptions.mWaitingPerSlot - (important ? 0 : mOptions.mKeptPerSlot);
-  auto places = static_cast<std::uint32_t>(perSlot * aHost.mSlots);
-  if (aHost.mInProgress >= aHost.mSlots + places) {
+    mOptions.mMaxWaitingPerSlot - (important ? 0 : mOptions.mReservedPerSlot);
+  auto maxWaiting = static_cast<std::uint32_t>(perSlot * aHost.mSlots);
+  if (aHost.mInProgress >= aHost.mSlots + maxWaiting) {
     return false;
   }
   double share = important ? mOptions.mImportantWaitShare : mOptions.mWaitShare;
@@ -59,7 +59,8 @@
   if (aOffer.mHasBest && !aOffer.mMustTake) {
     return FlowDecision::ToBest;
   }
-  // A host that seems down is still the better bet than a sure refusal.
+  // Offering the flow to a host that only seems down is better than a certain
+  // refusal.
   return aHost.mTakesNewFlows ? FlowDecision::Take : FlowDecision::Refuse;
 }
 
--- a/src/passthrough/FlowAdmission.h
+++ b/src/passthrough/FlowAdmission.h
@@ -7,95 +7,99 @@
 
 namespace heatherplank {
 
-/** What an agent knows of its host when a flow asks to be placed there. */
+/** An agent's view of its host when a new flow is offered. */
 struct HostCondition
 {
   bool mTakesNewFlows = false;
-  /** Opening packets stay unanswered: it may have crashed. */
+  /** The host does not reply to opening packets and may have crashed. */
   bool mSeemsDown = false;
-  /** Slow after its start. */
+  /** Started recently and is slower. */
   bool mIsCold = false;
   std::uint32_t mSlots = 1;
-  /** Requests that it works on or will be given by flows being opened. */
+  /** Requests being processed, and flows being opened. */
   std::uint32_t mInProgress = 0;
-  /** How long it works on a request. */
+  /** Estimated processing time of one request, without queueing. */
   Duration mServiceTime{};
 };
 
-/** A flow that asks to be placed. */
+/** A new flow that is offered to a host. */
 struct FlowOffer
 {
   Importance mImportance = Importance::Normal;
   Duration mLatencyTarget{};
-  /** Another host can still be asked. */
+  /** There are further candidates. */
   bool mHasMore = false;
-  /** A host that was asked before, and would make it wait for mBestWait. */
+  /** An earlier candidate could serve the flow after waiting for mBestWait. */
   bool mHasBest = false;
   Duration mBestWait{};
-  /** Every other host was asked. */
+  /** All other candidates were tried; the flow can't be forwarded. */
   bool mMustTake = false;
-  /** The caller sent this opening packet before, and will again: it is late
-   * already, and not lost if it is left unanswered. */
+  /** The opening packet is a retransmission, and the caller will retransmit it
+   * again: the flow is late already, and is not lost if this packet is dropped.
+   */
   bool mReturnsLater = false;
 };
 
 enum class FlowDecision : std::uint8_t
 {
   Take,
-  /** The next candidate may be freer. */
+  /** Forward to the next candidate, which may be less loaded. */
   PassOn,
-  /** The host asked before is the freest of all. */
+  /** Forward to the earlier candidate with the shortest wait. */
   ToBest,
-  /** No host can answer in time. */
+  /** No candidate can answer in time. */
   Refuse,
 };
 
-/** Decides whether a host takes a new flow.
+/** Decides whether a host admits a new flow.
  *
- * Pattern: some ten hosts of two slots each at half load, 15 ms a request.
- * Hosts picked blindly queue behind each other while slots beside them are
- * free; a load that balancers heard of is as old as a request takes. The agent
- * knows its host's load now, so a flow walks the candidates until a slot is
- * free, and goes back to the shortest queue if none is.
+ * Pattern: some ten hosts of two slots each at half load, 15 ms a request. With
+ * hosts picked regardless of load, requests queue at one host while other hosts
+ * have free slots, and a load report that reaches a balancer is as old as a
+ * request takes. The agent knows its host's current load, so a flow is
+ * forwarded along the candidate list until a host has a free slot, and returns
+ * to the host with the shortest wait if none has.
  *
- * Saturation: a queue that outlasts the latency target makes every answer
- * late. So what would be late is refused with its first packet, and the
- * important waits longer than the rest before it is refused.
+ * Saturation: a queue wait above the latency target makes every answer late. A
+ * flow that would be late is therefore refused at its first packet, and
+ * important flows may wait longer than others before they are refused.
  *
- * Mass return: after an outage callers come back in two kinds. Those who waited
- * repeat opening packets that are late already; others ask for the first time
- * and can still be answered in time. Let in as they come, the late ones fill
- * the queues and make everybody late. So a repeat that will be followed by
- * another takes a free slot only, and leaves the places to wait at to the
- * fresh. With a second's worth of callers back within 0.4 s at half load, 90 of
- * 100 fresh ones are in time (81 without), and 87 of 100 late ones are served
- * (97).
+ * Mass return: after an outage there are two kinds of callers. Those that
+ * waited retransmit opening packets and are late already; new callers can still
+ * be answered in time. Admitted in order of arrival, the late flows fill the
+ * queues and make all flows late. A retransmission that will be followed by
+ * another is therefore admitted to a free slot only and never queues. With one
+ * second's worth of callers back within 0.4 s at half load, 90 of 100 new ones
+ * are in time (81 without this rule), and 87 of 100 late ones are served (97).
  *
- * Pure and thread safe.
+ * No I/O or clock access; thread safe.
  */
 class FlowAdmission
 {
 public:
   struct Options
   {
-    /** Share of the latency target that ordinary flows may spend waiting. The
-     * rest is for the work and two handshakes over the network. At 1.4 times
-     * what the slots can do, 0.4 answers 98 % of the important in time and 63 %
-     * of the rest; 0.6, where both share the queue, 66 % of each. */
+    /** Share of the latency target that ordinary flows may spend queueing. The
+     * rest is for processing and two network handshakes. At 1.4 times the
+     * slots' capacity, 0.4 answers 98 % of important flows and 63 % of the
+     * others in time; with 0.6 both kinds share the queue, and 66 % of each are
+     * in time.
+     */
     double mWaitShare = 0.4;
-    /** The same for flows of High importance and above. They queue where
-     * others are refused, so in saturation the slots go to them first. */
+    /** The same share for flows of High importance and above. They may queue
+     * where others are refused, so in saturation they get the slots first. */
     double mImportantWaitShare = 1.2;
-    /** Most requests that wait at one host: hosts keep a short queue and
-     * turn away what exceeds it, with the work of opening the flow wasted. */
-    double mWaitingPerSlot = 3.5;
-    /** Of these places, those that only flows of High importance and above
-     * take. Where the places run out before the target's share does, as at a
-     * target of 200 ms, the important would else be refused like the rest:
-     * at 1.3 times the slots 79 % of each were in time, with two kept 100 % and
-     * 71 %. One does it under a steady load; the second is for important ones
-     * that come together. */
-    double mKeptPerSlot = 1;
+    /** Maximum requests queued per slot of a host. Hosts have a short queue and
+     * reject the excess, which wastes the work of opening the flow. */
+    double mMaxWaitingPerSlot = 3.5;
+    /** Queue places per slot reserved for flows of High importance and above.
+     * With long targets, such as 200 ms, the queue is full before the target's
+     * share is reached, and important flows would be refused like the others:
+     * at 1.3 times the slots' capacity 79 % of both kinds were in time; with
+     * two places reserved, 100 % of important flows and 71 % of the others. One
+     * place suffices under a steady load; the second is for bursts of important
+     * flows. */
+    double mReservedPerSlot = 1;
   };
 
   FlowAdmission() = default;
@@ -107,7 +111,7 @@
   FlowDecision Decide(const HostCondition& aHost,
                       const FlowOffer& aOffer) const;
 
-  /** How long one more request waits for a slot. */
+  /** How long one more request would wait for a slot. */
   static Duration WaitAt(const HostCondition& aHost);
 
 private:
--- a/src/passthrough/FlowAgent.cpp
+++ b/src/passthrough/FlowAgent.cpp
@@ -18,21 +18,23 @@
 
 namespace {
 
-constexpr auto kTick = std::chrono::milliseconds(50);
-constexpr auto kSecond = std::chrono::seconds(1);
-/** Announcements that a host may miss before it counts as silent. */
-constexpr int kMissedAnnouncements = 3;
-/** Heartbeats are answered within milliseconds, and one of them may be lost; an
- * agent that no balancer answered for this long looks into the directory. */
-constexpr auto kLostAfter = std::chrono::milliseconds(2000);
-/** The same for an agent that no balancer answered yet: after a power loss the
- * seeds may be the last to start, and others wait for hosts meanwhile. */
-constexpr auto kLostAtStartAfter = std::chrono::milliseconds(40);
-/** How long an agent goes on forwarding after it said that it stops, for the
- * flows that its host works on. */
-constexpr auto kStopAfter = std::chrono::milliseconds(4000);
-/** The same where the host has ended: for its last packets on the way. */
-constexpr auto kStopAfterHost = std::chrono::milliseconds(300);
+constexpr auto kTickInterval = std::chrono::milliseconds(50);
+constexpr auto kMetricsInterval = std::chrono::seconds(1);
+/** Missed announcements after which a host counts as unresponsive. */
+constexpr int kMaxMissedAnnouncements = 3;
+/** An agent whose heartbeats no balancer has confirmed for this long reads the
+ * directory. Balancers reply within milliseconds, and one heartbeat may be
+ * lost.
+ */
+constexpr auto kUnconfirmedTimeout = std::chrono::milliseconds(2000);
+/** The same for an agent that no balancer has confirmed yet: after a power loss
+ * the seeds may start last while other balancers wait for hosts. */
+constexpr auto kInitialUnconfirmedTimeout = std::chrono::milliseconds(40);
+/** How long an agent keeps forwarding after it announced its stop, so that its
+ * host can finish open flows. */
+constexpr auto kStopDelay = std::chrono::milliseconds(4000);
+/** The same if the host is gone: time for its last packets in flight. */
+constexpr auto kStopDelayHostGone = std::chrono::milliseconds(300);
 
 Member MakeSelf(const FlowAgentSettings& aSettings)
 {
@@ -51,7 +53,7 @@
 {
   AgentMembershipOptions options;
   options.mSeeds = std::move(aSeeds);
-  options.mHeartbeatEvery = kHeartbeatEvery;
+  options.mHeartbeatEvery = kHeartbeatInterval;
   options.mMonitors = kMonitorRule;
   options.mWantsPeers = false;
   return options;
@@ -65,8 +67,8 @@
   options.mSelf = aSelf.mTunnel;
   options.mService = aSelf.mService;
   options.mMaxFlows = aSettings.mMaxFlows;
-  options.mFlowsLastFor = std::chrono::seconds(aSettings.mFlowsLastS);
-  options.mSilentAfter = kMissedAnnouncements *
+  options.mFlowRetention = std::chrono::seconds(aSettings.mFlowsLastS);
+  options.mSilentAfter = kMaxMissedAnnouncements *
                          std::chrono::milliseconds(aSettings.mHostHeartbeatMs);
   return options;
 }
@@ -95,7 +97,7 @@
     , mAdapter(aAdapter)
     , mSelf(MakeSelf(aSettings))
     , mProcess({ mSettings, aAdapter, mSelf.mHost, mSelf.mIncarnation,
-                 std::nullopt, [this] { return Ready(); },
+                 std::nullopt, [this] { return CheckReady(); },
                  [this](const Frame& aFrame) { OnFrame(aFrame); },
                  [this](std::vector<Address> aSeeds) {
                    mMembers.SetSeeds(std::move(aSeeds));
@@ -120,19 +122,20 @@
   Histogram& mAnswerTime;
   MemberFeed mMembers;
   HostFlows mFlows;
-  std::shared_ptr<HttpServer> mHostCalls;
+  std::shared_ptr<HttpServer> mHostCallServer;
   std::shared_ptr<DatagramSocket> mOutbox;
-  /** What the balancers were told last. */
-  std::optional<HostState> mAnnounced;
-  Time mAnnouncedAt{};
+  /** State last announced to the balancers. */
+  std::optional<HostState> mAnnouncedState;
+  Time mFirstAnnouncedAt{};
   bool mStopping = false;
 
-  Result<void> Ready()
+  Result<void> CheckReady()
   {
     if (mStopping || !mFlows.Host().IsHeard(mClock.Now())) {
-      return Fail(ErrorKind::Unavailable,
-                  mStopping ? "stopping" : "the host was not heard",
-                  "wait, or look at the host");
+      return Fail(
+        ErrorKind::Unavailable,
+        mStopping ? "stopping" : "no recent announcement from the host",
+        "wait for the next announcement, or check that the host runs");
     }
     return {};
   }
@@ -155,7 +158,7 @@
     if (!calls) {
       return tl::unexpected(calls.error());
     }
-    mHostCalls = *calls;
+    mHostCallServer = *calls;
     return mProcess.Open();
   }
 
@@ -166,8 +169,8 @@
     mOutbox->Start([this](ByteView aDatagram, const Address&) {
       mFlows.OnHostPacket(aDatagram, mClock.Now());
     });
-    mProcess.mRuntime.Every(kTick, [this] { Tick(); });
-    mProcess.mRuntime.Every(kSecond, [this] { EverySecond(); });
+    mProcess.mRuntime.Every(kTickInterval, [this] { Tick(); });
+    mProcess.mRuntime.Every(kMetricsInterval, [this] { EverySecond(); });
     mProcess.mRuntime.OnStop([this] { Stop(); });
     mProcess.mRuntime.OnReload([this] { mProcess.OnReread(mReread()); });
     LogEvent(LogLevel::Info, "started",
@@ -180,18 +183,20 @@
   void Tick()
   {
     mFlows.OnTick(mClock.Now());
-    TellState();
+    AnnounceState();
     mMembers.Tick();
-    TendDirectory(mClock.Now());
+    CheckDirectory(mClock.Now());
   }
 
-  /** A host that no balancer answers for gets no flow. */
-  void TendDirectory(Time aNow)
+  /** Reads the directory if no balancer confirms this host's heartbeats:
+   * without confirmation the host gets no flows. */
+  void CheckDirectory(Time aNow)
   {
-    Time since = std::max(mAnnouncedAt, mMembers.ConfirmedAt());
-    Duration after =
-      mMembers.ConfirmedAt() == Time{} ? kLostAtStartAfter : kLostAfter;
-    mProcess.TendDirectory(mAnnounced && aNow - since > after, aNow);
+    Time since = std::max(mFirstAnnouncedAt, mMembers.ConfirmedAt());
+    Duration after = mMembers.ConfirmedAt() == Time{}
+                       ? kInitialUnconfirmedTimeout
+                       : kUnconfirmedTimeout;
+    mProcess.TendDirectory(mAnnouncedState && aNow - since > after, aNow);
   }
 
   void EverySecond()
@@ -201,7 +206,7 @@
     Time now = mClock.Now();
     metrics.GetGauge("host_in_progress").Set(mFlows.Condition(now).mInProgress);
     metrics.GetGauge("host_heard_s_ago")
-      .Set(InMs(now - mFlows.Host().HeardAt()) / 1000);
+      .Set(InMs(now - mFlows.Host().LastAnnouncementAt()) / 1000);
     metrics.GetGauge("flows").Set(static_cast<double>(mFlows.Size()));
     mProcess.Export(
       "flow_events", HostFlowEvent::Last,
@@ -223,47 +228,48 @@
         aRequest,
         Fail(ErrorKind::Forbidden,
              "service " + announcement->mService + " is not served here",
-             "announce the host to the agent beside it"));
+             "send the announcement to the agent of this host"));
     }
     auto effect = mFlows.OnAnnouncement(*announcement, mClock.Now());
     if (effect == AnnouncementEffect::Changed ||
-        effect == AnnouncementEffect::NewLife) {
-      LogEvent(LogLevel::Info, "host_announced",
-               { { "host", announcement->mId },
-                 { "state", ToString(mFlows.Host().Phase()) },
-                 { "sequence", mFlows.Host().Sequence() },
-                 { "new_life", effect == AnnouncementEffect::NewLife } });
+        effect == AnnouncementEffect::NewIncarnation) {
+      LogEvent(
+        LogLevel::Info, "host_announced",
+        { { "host", announcement->mId },
+          { "state", ToString(mFlows.Host().Phase()) },
+          { "sequence", mFlows.Host().Sequence() },
+          { "new_life", effect == AnnouncementEffect::NewIncarnation } });
     }
-    TellState();
+    AnnounceState();
     return mAdapter.AnswerHostCall(aRequest, {});
   }
 
-  /** Announces to the balancers what became of the host. */
-  void TellState()
+  /** Announces a changed state of the host to the balancers. */
+  void AnnounceState()
   {
     HostState now = CurrentState();
-    if (!mAnnounced && now == HostState::Leaving) {
+    if (!mAnnouncedState && now == HostState::Leaving) {
       return;
     }
     mMembers.SetSlots(mFlows.Host().Slots());
-    if (mAnnounced == now) {
+    if (mAnnouncedState == now) {
       return;
     }
-    if (!mAnnounced) {
-      mAnnouncedAt = mClock.Now();
+    if (!mAnnouncedState) {
+      mFirstAnnouncedAt = mClock.Now();
     }
-    if (!mAnnounced || now > *mAnnounced) {
+    if (!mAnnouncedState || now > *mAnnouncedState) {
       mMembers.Announce();
       mMembers.SetState(now);
     } else {
       mMembers.BeginLife(now);
     }
-    mAnnounced = now;
+    mAnnouncedState = now;
   }
 
   HostState CurrentState() const
   {
-    const HostLife& host = mFlows.Host();
+    const HostStatus& host = mFlows.Host();
     if (host.Phase() == HostPhase::Gone || !host.IsHeard(mClock.Now())) {
       return HostState::Leaving;
     }
@@ -286,12 +292,13 @@
       return;
     }
     if (aFrame.mKind == MessageKind::DrainNotice) {
-      Take(DecodeDrainNotice(aFrame.mPayload));
+      OnDrainNotice(DecodeDrainNotice(aFrame.mPayload));
       return;
     }
-    auto steered = aFrame.mKind == MessageKind::SteeredPacket
-                     ? DecodeSteeredPacket(aFrame.mPayload)
-                     : Fail(ErrorKind::Malformed, "unknown kind", "");
+    auto steered =
+      aFrame.mKind == MessageKind::SteeredPacket
+        ? DecodeSteeredPacket(aFrame.mPayload)
+        : Fail(ErrorKind::Malformed, "unexpected message kind", "");
     if (!steered || steered->mPurpose == SteerPurpose::NotHere) {
       mProcess.CountMalformed();
       return;
@@ -299,7 +306,7 @@
     mFlows.OnSteered(std::move(*steered), mClock.Now());
   }
 
-  void Take(const Result<DrainNotice>& aNotice)
+  void OnDrainNotice(const Result<DrainNotice>& aNotice)
   {
     if (!aNotice) {
       mProcess.CountMalformed();
@@ -339,9 +346,9 @@
   {
     mStopping = true;
     mFlows.Leave();
-    TellState();
+    AnnounceState();
     bool hostEnded = mFlows.Host().Phase() == HostPhase::Gone;
-    mProcess.StopAfter(hostEnded ? kStopAfterHost : kStopAfter);
+    mProcess.StopAfter(hostEnded ? kStopDelayHostGone : kStopDelay);
   }
 };
 
--- a/src/passthrough/FlowAgent.h
+++ b/src/passthrough/FlowAgent.h
@@ -9,25 +9,26 @@
 
 namespace heatherplank {
 
-/** The agent process beside a host of opaque flows: its sockets, timers and
- * parts, and how they are joined. Everything runs on one thread. Decisions are
- * made elsewhere: HostFlows, AgentMembership.
+/** The agent process beside a host of opaque flows. Owns the sockets and timers
+ * and connects them to HostFlows and AgentMembership, which make the decisions.
+ * Runs on a single thread.
  */
 class FlowAgent
 {
 public:
-  /** Reads the settings again. */
+  /** Reloads the settings. */
   using Reread = std::function<Result<FlowAgentSettings>()>;
 
-  /** Opens every port; System with the remedy if one can't be had. aAdapter
-   * must outlive it. aReread is called when the settings may have changed. */
+  /** Opens every port; returns ErrorKind::System with a remedy if one can't be
+   * opened. aAdapter must outlive the agent. aReread is called when the
+   * settings may have changed. */
   static Result<std::unique_ptr<FlowAgent>> Make(
     const FlowAgentSettings& aSettings, const PlatformAdapter& aAdapter,
     Reread aReread);
 
   ~FlowAgent();
 
-  /** Runs until a planned stop has ended. */
+  /** Runs until a graceful stop completes. */
   void Run();
 
 private:
--- a/src/passthrough/HeartbeatRule.h
+++ b/src/passthrough/HeartbeatRule.h
@@ -7,15 +7,15 @@
 
 namespace heatherplank {
 
-/** How often an agent of opaque flows beats to its monitors. */
-constexpr Duration kHeartbeatEvery = std::chrono::milliseconds(500);
+/** Heartbeat interval of an agent of opaque flows. */
+constexpr Duration kHeartbeatInterval = std::chrono::milliseconds(500);
 
-/** To whom it beats; balancers go by the same rule.
+/** Selects the balancers that monitor an agent; balancers use the same rule.
  *
- * Protects the control budget of a node, 25 KB/s: a heartbeat and its answer
- * are some 400 bytes a second, so 24 balancers cost an agent 9.6 KB/s, and all
- * of 2,600 would cost it a megabyte. Three monitors lose a host's death only if
- * all three die with it, one of them in another data centre.
+ * Keeps a node within its control budget of 25 KB/s. Heartbeats to one balancer
+ * and the replies take some 400 bytes/s: 9.6 KB/s for 24 balancers, but 1 MB/s
+ * for 2,600. With three monitors, one of them in another data centre, a host's
+ * failure goes unnoticed only if all three fail with it.
  */
 constexpr MonitorRule kMonitorRule{ .mCount = 3, .mAllUpTo = 24 };
 
--- a/src/passthrough/HostAnnouncement.h
+++ b/src/passthrough/HostAnnouncement.h
@@ -8,32 +8,32 @@
 
 namespace heatherplank {
 
-/** What a host says of its own readiness. */
+/** Readiness that a host announces. */
 enum class HostPhase : std::uint8_t
 {
   /** Takes new flows. */
   Ready,
-  /** Keeps its flows, wants no new ones. */
+  /** Serves its open flows, takes no new ones. */
   Draining,
-  /** Ends now; holds nothing. */
+  /** Exits now and holds no flows. */
   Gone,
 };
 
-/** A host's word on itself, as its agent hears it about once a heartbeat. */
+/** State that a host sends to its agent about once per heartbeat interval. */
 struct HostAnnouncement
 {
-  /** Names the host; a host that starts again may keep it. */
+  /** Identifies the host; a restarted host may keep its id. */
   std::string mId;
-  /** When the host started, Unix milliseconds by its own clock. Hosts that do
-   * not say it are told apart by mId alone. */
+  /** Start time of the host, in Unix milliseconds by its own clock. Hosts that
+   * don't send it are distinguished by mId alone. */
   std::optional<std::int64_t> mStartedAt;
-  /** Counts the host's calls since its start; none in a farewell. */
+  /** Number of the announcement since the host's start; none with Gone. */
   std::optional<std::uint64_t> mSequence;
   HostPhase mPhase = HostPhase::Ready;
   std::string mService;
-  /** Requests that it works on at once. */
+  /** Requests that the host processes concurrently. */
   std::uint16_t mSlots = 1;
-  /** How much longer it is slow after its start. */
+  /** Remaining time during which the host is slower after its start. */
   Duration mColdFor{};
 };
 
--- a/src/passthrough/HostFlows.cpp
+++ b/src/passthrough/HostFlows.cpp
@@ -9,14 +9,14 @@
 
 namespace {
 
-/** A host answers an opening packet within a millisecond or so; a scheduler
- * that gives an agent its share once in 100 ms may hold the answer back that
- * long. */
-constexpr auto kAnswerWithin = std::chrono::milliseconds(120);
-/** A host that seems down is tried with one flow this often. */
-constexpr auto kTryEvery = std::chrono::milliseconds(250);
-/** A host's first announcement comes within a heartbeat of its start. */
-constexpr auto kStartSeenWithin = std::chrono::milliseconds(1500);
+/** A host replies to an opening packet within about 1 ms, but a scheduler that
+ * runs the agent only once in 100 ms can delay the reply by that much. */
+constexpr auto kAnswerTimeout = std::chrono::milliseconds(120);
+/** A host that seems down is offered one flow per interval. */
+constexpr auto kRetryInterval = std::chrono::milliseconds(250);
+/** A host sends its first announcement within one heartbeat interval of its
+ * start. */
+constexpr auto kMaxFirstAnnouncementDelay = std::chrono::milliseconds(1500);
 
 std::int64_t Micros(Duration aSpan)
 {
@@ -69,7 +69,7 @@
   , mOutput(aOutput)
   , mAdmission(aOptions.mAdmission)
   , mStartedAt(aNow)
-  , mLife(aOptions.mSilentAfter)
+  , mHostStatus(aOptions.mSilentAfter)
   , mColdRate(aNow)
   , mFlows(aOptions.mMaxFlows)
 {
@@ -78,26 +78,29 @@
 HostCondition HostFlows::Condition(Time aNow) const
 {
   HostCondition out;
-  bool unheard = !mOptions.mGuards.mHearFirst && !mLife.IsHeard(aNow);
+  bool acceptsUnannounced =
+    !mOptions.mGuards.mHearFirst && !mHostStatus.IsHeard(aNow);
   out.mTakesNewFlows = !mLeaving && !mDrain.IsDrained(aNow) &&
-                       (unheard || mLife.TakesNewFlows(aNow));
+                       (acceptsUnannounced || mHostStatus.TakesNewFlows(aNow));
   bool unanswered =
-    mUnansweredSince != Time{} && aNow - mUnansweredSince > kAnswerWithin;
-  out.mSeemsDown = unanswered && aNow - mTriedAt < kTryEvery;
-  out.mIsCold = mLife.IsCold(aNow);
-  out.mSlots = mLife.Slots();
+    mUnansweredSince != Time{} && aNow - mUnansweredSince > kAnswerTimeout;
+  out.mSeemsDown = unanswered && aNow - mLastAdmittedAt < kRetryInterval;
+  out.mIsCold = mHostStatus.IsCold(aNow);
+  out.mSlots = mHostStatus.Slots();
   out.mInProgress = mWork.Size();
   out.mServiceTime = mServiceTime.Get();
   return out;
 }
 
-/** Failure met: hosts turn cold while their data centre is drained, and say so
- * only with their next announcement; taken back, they would be given what warm
- * hosts bear. */
+/** Failure met: hosts turn cold while their data centre is drained and report
+ * it only with their next announcement. When the drain ends, they would receive
+ * the load of warm hosts, so a host counts as possibly cold until it has sent
+ * an announcement after the drain. */
 bool HostFlows::MayBeCold(Time aNow) const
 {
-  bool wasDrained = mDrain.Until() != Time{};
-  return mLife.IsCold(aNow) || (wasDrained && mLife.HeardAt() < mDrain.Until());
+  bool wasDrained = mDrain.ExpiresAt() != Time{};
+  return mHostStatus.IsCold(aNow) ||
+         (wasDrained && mHostStatus.LastAnnouncementAt() < mDrain.ExpiresAt());
 }
 
 HostCondition HostFlows::ConditionFor(const SteeredPacket& aSteered,
@@ -125,15 +128,15 @@
 {
   auto packet = mFormat.Parse(aSteered.mPacket);
   if (!packet || packet->mBounced) {
-    Add(HostFlowEvent::Malformed);
+    CountEvent(HostFlowEvent::Malformed);
     return;
   }
-  // Failure met: a host's address was given to a host of another service while
-  // a balancer still holds the old member. The packet would reach a service
-  // that its route never named.
+  // Failure met: a host's address was reassigned to a host of another service
+  // while a balancer still has the old member. Without this check the packet
+  // would reach a service that its route does not name.
   if (mOptions.mGuards.mCheckService &&
       aSteered.mService != mOptions.mService) {
-    Add(HostFlowEvent::RefusedOtherService);
+    CountEvent(HostFlowEvent::RefusedOtherService);
     return;
   }
   if (aSteered.mPurpose == SteerPurpose::Place) {
@@ -145,7 +148,7 @@
   if (aSteered.mPurpose == SteerPurpose::FanOut) {
     FanOut(aSteered, *packet);
   }
-  Continue(aSteered, *packet, aNow);
+  DeliverOrForward(aSteered, *packet, aNow);
 }
 
 void HostFlows::Place(SteeredPacket& aSteered, const FlowPacket& aPacket,
@@ -154,7 +157,7 @@
   FlowKey flow = aPacket.FlowFromCaller();
   auto* entry = mFlows.Find(flow);
   if (entry != nullptr && entry->mValue.mStage != Stage::NotHere) {
-    PlaceKnown(aSteered, aPacket, *entry, aNow);
+    HandleRepeatedOpening(aSteered, aPacket, *entry, aNow);
     return;
   }
   FlowOffer offer;
@@ -167,13 +170,13 @@
   offer.mReturnsLater = aPacket.mRepeats > 0 && aPacket.mRepeatsAgain;
   switch (mAdmission.Decide(ConditionFor(aSteered, aNow), offer)) {
     case FlowDecision::Take:
-      Take(aSteered, aPacket, aNow);
+      Admit(aSteered, aPacket, aNow);
       return;
     case FlowDecision::PassOn:
-      PassPlacementOn(aSteered, flow, aNow);
+      ForwardPlacement(aSteered, flow, aNow);
       return;
     case FlowDecision::ToBest: {
-      Add(HostFlowEvent::SentToBest);
+      CountEvent(HostFlowEvent::SentToBest);
       LogFlow("sent_to_best", { { "flow", flow.ToString() },
                                 { "to", aSteered.mBest.ToString() } });
       aSteered.mMustTake = true;
@@ -187,65 +190,68 @@
   }
 }
 
-/** A copy of an opening packet. A host that answered gets it again, since its
- * answer may have been lost. One that did not may have lost the packet; it gets
- * the copy only while it takes new flows, since for it the copy opens one.
+/** Handles a repeated opening packet. A host that replied receives it again,
+ * since the reply may have been lost. A host that did not reply may have lost
+ * the packet, so the repeat would open a new flow there: the host receives it
+ * only while it takes new flows.
  *
- * Failure met: a host answers the first copy, crashes, starts anew and says
- * that it leaves; the next copy opens a flow at the new life, which leaves.
- * Shown by a flow that a leaving host took seconds after it said so. What a
- * former life answered counts for nothing at a host that takes no new flows. */
-void HostFlows::PlaceKnown(SteeredPacket& aSteered, const FlowPacket& aPacket,
-                           Table::Entry& aEntry, Time aNow)
+ * Failure met: a host replies to the first opening packet, crashes, restarts
+ * and announces that it is draining; the repeat then opens a flow at the
+ * draining incarnation. A reply of an earlier incarnation is therefore ignored
+ * while the host takes no new flows. */
+void HostFlows::HandleRepeatedOpening(SteeredPacket& aSteered,
+                                      const FlowPacket& aPacket,
+                                      Table::Entry& aEntry, Time aNow)
 {
   mFlows.Touch(aEntry, aNow);
   HostCondition host = ConditionFor(aSteered, aNow);
-  bool isOfThisLife = aEntry.mValue.mHostLife == mHostLives;
+  bool isCurrentIncarnation =
+    aEntry.mValue.mHostIncarnation == mHostIncarnations;
   if (aEntry.mValue.mStage != Stage::Offered &&
-      (host.mTakesNewFlows || isOfThisLife)) {
-    aEntry.mValue.mTold = Address{};
-    Tell(aEntry, aSteered.mIngress);
+      (host.mTakesNewFlows || isCurrentIncarnation)) {
+    aEntry.mValue.mNotifiedBalancer = Address{};
+    ReportLocation(aEntry, aSteered.mIngress);
     mFormat.Tag(aSteered.mPacket, 0);
     mOutput.ToHost(aSteered.mPacket);
     return;
   }
   if (host.mTakesNewFlows && !host.mSeemsDown) {
-    Take(aSteered, aPacket, aNow);
+    Admit(aSteered, aPacket, aNow);
     return;
   }
   Forget(aEntry.mFlow, aNow);
-  PassPlacementOn(aSteered, aPacket.FlowFromCaller(), aNow);
+  ForwardPlacement(aSteered, aPacket.FlowFromCaller(), aNow);
 }
 
-void HostFlows::Take(SteeredPacket& aSteered, const FlowPacket& aPacket,
-                     Time aNow)
+void HostFlows::Admit(SteeredPacket& aSteered, const FlowPacket& aPacket,
+                      Time aNow)
 {
   FlowKey flow = aPacket.FlowFromCaller();
   Table::Entry* entry = mFlows.Put(flow, aNow);
   if (entry == nullptr) {
-    Add(HostFlowEvent::TableFull);
+    CountEvent(HostFlowEvent::TableFull);
     Refuse(aSteered, flow, aNow);
     return;
   }
   entry->mValue.mStage = std::max(entry->mValue.mStage, Stage::Offered);
-  Add(HostFlowEvent::Placed);
+  CountEvent(HostFlowEvent::Placed);
   LogFlow("placed", { { "flow", flow.ToString() },
                       { "in_progress", mWork.Size() },
-                      { "slots", mLife.Slots() },
-                      { "host_heard_ms_ago", HeardAgo(aNow) } });
-  entry->mValue.mTold = aSteered.mIngress;
-  mColdRate.OnTaken(aNow);
-  mWork.Begin(flow, aNow, aNow + kOpenWithin);
+                      { "slots", mHostStatus.Slots() },
+                      { "host_heard_ms_ago", MsSinceAnnouncement(aNow) } });
+  entry->mValue.mNotifiedBalancer = aSteered.mIngress;
+  mColdRate.OnAdmitted(aNow);
+  mWork.Begin(flow, aNow, aNow + kOpenTimeout);
   if (mUnansweredSince == Time{}) {
     mUnansweredSince = aNow;
   }
-  mTriedAt = aNow;
-  mFormat.Tag(aSteered.mPacket, Remember(aSteered, flow));
+  mLastAdmittedAt = aNow;
+  mFormat.Tag(aSteered.mPacket, AddPending(aSteered, flow));
   mOutput.ToHost(aSteered.mPacket);
 }
 
-void HostFlows::PassPlacementOn(SteeredPacket& aSteered, const FlowKey& aFlow,
-                                Time aNow)
+void HostFlows::ForwardPlacement(SteeredPacket& aSteered, const FlowKey& aFlow,
+                                 Time aNow)
 {
   if (aSteered.mCandidates.empty()) {
     Refuse(aSteered, aFlow, aNow);
@@ -259,14 +265,14 @@
       aSteered.mBestWait = wait;
     }
   }
-  Add(HostFlowEvent::PassedOn);
+  CountEvent(HostFlowEvent::PassedOn);
   Address next = aSteered.mCandidates.front();
   LogFlow("passed_on", { { "flow", aFlow.ToString() },
                          { "to", next.ToString() },
                          { "in_progress", host.mInProgress },
                          { "takes_new", host.mTakesNewFlows },
                          { "seems_down", host.mSeemsDown },
-                         { "host_heard_ms_ago", HeardAgo(aNow) } });
+                         { "host_heard_ms_ago", MsSinceAnnouncement(aNow) } });
   aSteered.mCandidates.erase(aSteered.mCandidates.begin());
   mOutput.Steer(next, aSteered);
 }
@@ -274,7 +280,7 @@
 void HostFlows::Refuse(const SteeredPacket& aSteered, const FlowKey& aFlow,
                        Time aNow)
 {
-  Add(HostFlowEvent::Refused);
+  CountEvent(HostFlowEvent::Refused);
   HostCondition host = ConditionFor(aSteered, aNow);
   LogEvent(LogLevel::Info, "refused",
            { { "flow", aFlow.ToString() },
@@ -283,17 +289,19 @@
              { "target_us", Micros(aSteered.mLatencyTarget) },
              { "takes_new", host.mTakesNewFlows },
              { "seems_down", host.mSeemsDown },
-             { "host_heard_ms_ago", HeardAgo(aNow) } });
+             { "host_heard_ms_ago", MsSinceAnnouncement(aNow) } });
   mOutput.Report(aSteered.mIngress,
                  { aFlow, mOptions.mHost, PlacementOutcome::Refused });
 }
 
-std::int64_t HostFlows::HeardAgo(Time aNow) const
+std::int64_t HostFlows::MsSinceAnnouncement(Time aNow) const
 {
-  return mLife.HeardAt() == Time{} ? -1 : Micros(aNow - mLife.HeardAt()) / 1000;
+  return mHostStatus.LastAnnouncementAt() == Time{}
+           ? -1
+           : Micros(aNow - mHostStatus.LastAnnouncementAt()) / 1000;
 }
 
-void HostFlows::Reset(const FlowKey& aFlow, std::uint32_t aSequence)
+void HostFlows::SendReset(const FlowKey& aFlow, std::uint32_t aSequence)
 {
   mOutput.ToCaller(aFlow.mCaller, mFormat.MakeReset(aFlow, aSequence));
 }
@@ -306,13 +314,13 @@
   }
 }
 
-AnnouncementEffect HostFlows::OnAnnouncement(const HostAnnouncement& aIt,
-                                             Time aNow)
+AnnouncementEffect HostFlows::OnAnnouncement(
+  const HostAnnouncement& aAnnouncement, Time aNow)
 {
-  AnnouncementEffect effect = mLife.OnAnnouncement(aIt, aNow);
-  if (effect == AnnouncementEffect::NewLife) {
-    ++mHostLives;
-    mWork.DropOlderThan(aNow - kStartSeenWithin);
+  AnnouncementEffect effect = mHostStatus.OnAnnouncement(aAnnouncement, aNow);
+  if (effect == AnnouncementEffect::NewIncarnation) {
+    ++mHostIncarnations;
+    mWork.DropOlderThan(aNow - kMaxFirstAnnouncementDelay);
     mServiceTime.Reset();
   }
   return effect;
@@ -321,7 +329,7 @@
 void HostFlows::OnTick(Time aNow)
 {
   mWork.Expire(aNow);
-  Time before = aNow - mOptions.mFlowsLastFor;
+  Time before = aNow - mOptions.mFlowRetention;
   mFlows.Expire(before, aNow, [](const Table::Entry&) { return true; });
 }
 
--- a/src/passthrough/HostFlows.h
+++ b/src/passthrough/HostFlows.h
@@ -10,9 +10,9 @@
 #include "src/passthrough/DrainLease.h"
 #include "src/passthrough/FlowAdmission.h"
 #include "src/passthrough/HostAnnouncement.h"
-#include "src/passthrough/HostLife.h"
+#include "src/passthrough/HostStatus.h"
 #include "src/passthrough/InventoryMessages.h"
-#include "src/passthrough/NewBytes.h"
+#include "src/passthrough/NewByteDetector.h"
 #include "src/passthrough/PacketFormat.h"
 #include "src/passthrough/ServiceTime.h"
 #include "src/passthrough/SteerMessages.h"
@@ -21,45 +21,55 @@
 
 namespace heatherplank {
 
-/** What an agent measures of its host. */
+/** Durations that an agent measures at its host. */
 enum class HostTiming : std::uint8_t
 {
-  /** From an opening packet to the host's answer. */
+  /** From forwarding an opening packet to the host's reply. */
   Opening,
-  /** From a request's last packet to the first of its answer. */
+  /** From a request's last packet to the first packet of its answer. */
   Answer,
 };
 
-/** Where the decisions of HostFlows go. Called under no lock of its own. */
+/** Sends the packets and reports that HostFlows decides on. HostFlows holds no
+ * lock while it calls this interface. */
 class HostFlowsOutput
 {
 public:
   virtual ~HostFlowsOutput() = default;
 
   virtual void ToHost(ByteView aPacket) = 0;
-  /** aCaller: the caller's end of the flow. */
+  /** aCaller: the caller's address of the flow. */
   virtual void ToCaller(const Address& aCaller, ByteView aPacket) = 0;
-  /** To another agent, or with NotHere back to a balancer. */
+  /** Sends to another agent or, with SteerPurpose::NotHere, back to the
+   * balancer. */
   virtual void Steer(const Address& aTo, const SteeredPacket& aPacket) = 0;
   virtual void Report(const Address& aBalancer,
                       const PlacementReport& aReport) = 0;
   virtual void Measured(HostTiming aTiming, Duration aTook) = 0;
 };
 
-/** What happened to packets and flows; each is counted. */
+/** Events of packets and flows; one counter each. */
 enum class HostFlowEvent : std::uint8_t
 {
   Placed,
+  /** An opening packet was forwarded to the next candidate. */
   PassedOn,
+  /** An opening packet was forwarded to the host with the shortest queue. */
   SentToBest,
   Refused,
   RefusedOtherService,
   Delivered,
+  /** A search was forwarded to the next candidate. */
   Searched,
+  /** A packet of an unknown flow went to the host to find out whether the host
+   * holds the flow. */
   Probed,
+  /** The host returned a packet. */
   Bounced,
   FlowLost,
+  /** A search found the flow at none of the candidates. */
   SearchEnded,
+  /** A packet was sent back to the balancer that expected the flow here. */
   NotHere,
   TableFull,
   Malformed,
@@ -69,29 +79,30 @@
 
 std::string_view ToString(HostFlowEvent aEvent);
 
-/** Guards of HostFlows. All are on in production; tests switch one off to see
- * the failure that it guards against. */
+/** Safety checks of HostFlows. All are on in production; tests switch one off
+ * to reproduce the failure that it prevents. */
 struct HostFlowGuards
 {
-  /** Refuses packets for another service than the host's. */
+  /** Rejects packets of a service that the host does not run. */
   bool mCheckService = true;
-  /** Looks at what a caller acknowledges before a flow counts as open here. */
+  /** Checks the caller's acknowledgement number before a flow counts as open
+   * at this host. */
   bool mMatchAcknowledged = true;
-  /** After a restart asks the host about flows that it may hold. */
+  /** After an agent restart, probes the host for flows that it may hold. */
   bool mAskUnknown = true;
-  /** Takes no new flow until the host was heard. */
+  /** Admits no new flow before the host's first announcement. */
   bool mHearFirst = true;
 };
 
-/** The flows of one host, as its agent knows them: which the host holds, and
- * how much work they are. Takes new flows or passes them on, delivers packets
- * of flows that the host holds, and lets no other packet reach the host but
- * to ask whether it holds the flow.
+/** An agent's table of the flows that its host holds and of the requests in
+ * progress on them. Admits new flows or forwards them to another host, and
+ * delivers packets of flows that the host holds. The only other packets that
+ * reach the host are probes for flows that the agent does not know.
  *
- * The host is the only truth on what it holds; the table here is what was seen
- * of it in both directions. An agent that restarted asks the host about flows
- * that it does not know by delivering the packet: a host returns what it does
- * not hold. Pure; not thread safe.
+ * The host is authoritative for the flows that it holds; the table records the
+ * packets seen in both directions. An agent that restarted probes the host by
+ * delivering a packet of an unknown flow: the host returns the packet if it
+ * does not hold the flow. No I/O or clock access; not thread safe.
  */
 class HostFlows
 {
@@ -99,21 +110,22 @@
   struct Options
   {
     HostId mHost;
-    /** Where other agents and balancers reach this agent. */
+    /** Address at which other agents and balancers reach this agent. */
     Address mSelf;
     ServiceId mService;
-    /** Flows remembered at most. */
+    /** Capacity of the flow table. */
     std::size_t mMaxFlows = 16384;
-    /** Flows that are older may be forgotten; for this long after the start
-     * there may be flows from before it. */
-    Duration mFlowsLastFor = std::chrono::seconds(60);
-    /** Without an announcement for this long the host counts as silent. */
+    /** Idle flows are removed after this duration. During the same duration
+     * after the agent's start, the host may hold flows that the agent does not
+     * know. */
+    Duration mFlowRetention = std::chrono::seconds(60);
+    /** A host without an announcement for this long counts as unresponsive. */
     Duration mSilentAfter = std::chrono::milliseconds(3600);
     FlowAdmission::Options mAdmission;
     HostFlowGuards mGuards;
   };
 
-  /** aFormat and aOutput must outlive it. */
+  /** aFormat and aOutput must outlive this object. */
   HostFlows(const Options& aOptions, const PacketFormat& aFormat,
             HostFlowsOutput& aOutput, Time aNow);
 
@@ -123,20 +135,22 @@
   /** A packet that the host sent or returned. */
   void OnHostPacket(ByteView aPacket, Time aNow);
 
-  AnnouncementEffect OnAnnouncement(const HostAnnouncement& aIt, Time aNow);
+  AnnouncementEffect OnAnnouncement(const HostAnnouncement& aAnnouncement,
+                                    Time aNow);
 
-  /** A balancer says that the data centre is drained. */
+  /** A balancer reports that the data centre is drained. */
   void OnDrainNotice(const DrainNotice& aNotice, Time aNow);
 
-  /** This agent stops soon: new flows go elsewhere from now on. */
+  /** The agent is about to stop: admits no new flows from now on. */
   void Leave() { mLeaving = true; }
 
-  /** Call it some ten times a second. */
+  /** Removes expired state. Call about ten times a second. */
   void OnTick(Time aNow);
 
-  const HostLife& Host() const { return mLife; }
+  const HostStatus& Host() const { return mHostStatus; }
   HostCondition Condition(Time aNow) const;
-  /** Whether the operator drains the data centre: the host gets no new flow. */
+  /** Whether the operator drains the data centre; if so, the host is given no
+   * new flows. */
   bool IsDrained(Time aNow) const { return mDrain.IsDrained(aNow); }
   std::size_t Size() const { return mFlows.Size(); }
   std::uint64_t Count(HostFlowEvent aEvent) const
@@ -145,84 +159,90 @@
   }
 
 private:
-  /** Flows that are being opened count as work for as long as a caller takes to
-   * send its request: a round trip, some 10 ms, and what slow balancers add. Of
-   * those that were offered to two hosts one never opens. Counted for 300 ms
-   * each they filled the slots of idle hosts, whose refusals brought more
-   * copies. */
-  static constexpr Duration kOpenWithin = std::chrono::milliseconds(50);
+  /** How long a flow that is being opened counts as a request in progress. A
+   * caller sends its request after a round trip of about 10 ms plus the delay
+   * of slow balancers. A flow that was offered to two hosts never opens at one
+   * of them: with 300 ms such flows filled the slots of idle hosts, and the
+   * refusals caused more retransmissions. */
+  static constexpr Duration kOpenTimeout = std::chrono::milliseconds(50);
 
   enum class Stage : std::uint8_t
   {
-    /** The host returned a packet of the flow: it does not hold it, and will
-     * not unless an opening packet comes.
+    /** The host returned a packet of the flow: it does not hold the flow, and
+     * will not hold it before an opening packet arrives.
      *
-     * Failure met: while the agent of a flow's host restarts, the caller's
-     * repeats are searched for, and each of them reaches the hosts of all
-     * agents that restarted before. Shown by packets of an open flow that
-     * arrive at other hosts again and again. A host is asked once. */
+     * Failure met: while the agent of a flow's host restarts, the balancers
+     * search for each packet that the caller retransmits, and all agents that
+     * restarted recently probe their hosts with it. Packets of an open flow
+     * then reach other hosts repeatedly. This stage limits each host to one
+     * probe per flow. */
     NotHere,
-    /** The opening packet went to the host. */
+    /** The opening packet was delivered to the host. */
     Offered,
-    /** The host answered it; the caller may still open the flow elsewhere. */
+    /** The host replied; the caller may still open the flow at another host. */
     Answered,
-    /** The caller acknowledged this host's answer, or the host sent data. */
+    /** The caller acknowledged this host's reply, or the host sent data. */
     Open,
   };
   struct Flow
   {
     Stage mStage = Stage::Offered;
-    /** The host's first sequence; what the caller acknowledges tells at which
-     * host it opened the flow. */
+    /** The host's initial sequence number. The caller's acknowledgement number
+     * shows at which host the caller opened the flow. */
     std::uint32_t mHostSequence = 0;
     bool mHostSequenceKnown = false;
-    /** mHostLives as the host answered. */
-    std::uint32_t mHostLife = 0;
-    /** The host ended its direction, or either end reset the flow: no request
-     * begins any more. */
+    /** Value of mHostIncarnations when the host replied. */
+    std::uint32_t mHostIncarnation = 0;
+    /** The host closed its direction, or either end reset the flow; no further
+     * request can begin. */
     bool mFinished = false;
-    NewBytes mFromCaller;
-    /** The balancer that was told last where the flow is. */
-    Address mTold;
+    NewByteDetector mFromCaller;
+    /** The balancer that last received a report of the flow's host. */
+    Address mNotifiedBalancer;
   };
   using Table = BoundedTable<Flow>;
-  /** What to do with a packet that the host returns. */
+  /** A packet delivered to the host, and how to forward it if the host returns
+   * it. */
   struct Pending
   {
     std::uint32_t mTag = 0;
     FlowKey mFlow;
     SteeredPacket mSteered;
   };
-  /** Packets under way to the host that may come back within a round trip on
-   * one machine, a millisecond at most; a few thousand packets a second. */
-  static constexpr std::size_t kMostPending = 256;
+  /** Packets that the host may still return. A round trip within the VM takes
+   * at most 1 ms, and a host receives a few thousand packets a second. */
+  static constexpr std::size_t kMaxPending = 256;
 
   void Place(SteeredPacket& aSteered, const FlowPacket& aPacket, Time aNow);
+  /** The condition for one flow: a cold host that has used up the flow's cold
+   * rate takes no new flows. */
   HostCondition ConditionFor(const SteeredPacket& aSteered, Time aNow) const;
   bool MayBeCold(Time aNow) const;
-  void PlaceKnown(SteeredPacket& aSteered, const FlowPacket& aPacket,
-                  Table::Entry& aEntry, Time aNow);
-  void Take(SteeredPacket& aSteered, const FlowPacket& aPacket, Time aNow);
-  void PassPlacementOn(SteeredPacket& aSteered, const FlowKey& aFlow,
-                       Time aNow);
+  void HandleRepeatedOpening(SteeredPacket& aSteered, const FlowPacket& aPacket,
+                             Table::Entry& aEntry, Time aNow);
+  void Admit(SteeredPacket& aSteered, const FlowPacket& aPacket, Time aNow);
+  void ForwardPlacement(SteeredPacket& aSteered, const FlowKey& aFlow,
+                        Time aNow);
   void Refuse(const SteeredPacket& aSteered, const FlowKey& aFlow, Time aNow);
-  /** Age of the host's last word in ms, for logs; -1 if there is none. */
-  std::int64_t HeardAgo(Time aNow) const;
-  void Continue(SteeredPacket& aSteered, const FlowPacket& aPacket, Time aNow);
+  /** Age of the host's last announcement in ms, for logs; -1 if there is none.
+   */
+  std::int64_t MsSinceAnnouncement(Time aNow) const;
+  void DeliverOrForward(SteeredPacket& aSteered, const FlowPacket& aPacket,
+                        Time aNow);
   void FanOut(SteeredPacket& aSteered, const FlowPacket& aPacket);
   void Deliver(SteeredPacket& aSteered, const FlowPacket& aPacket,
                Table::Entry& aEntry, Time aNow);
-  void PassSearchOn(SteeredPacket& aSteered, const FlowKey& aFlow);
+  void ForwardSearch(SteeredPacket& aSteered, const FlowKey& aFlow);
   void Probe(SteeredPacket& aSteered, const FlowKey& aFlow);
   bool IsOpenHere(Flow& aFlow, const FlowPacket& aPacket) const;
-  void OnBounced(ByteView aBytes, const FlowPacket& aPacket, Time aNow);
-  void FromHost(const FlowPacket& aPacket, Time aNow);
-  void Tell(Table::Entry& aEntry, const Address& aIngress);
-  void Reset(const FlowKey& aFlow, std::uint32_t aSequence);
+  void OnReturned(ByteView aBytes, const FlowPacket& aPacket, Time aNow);
+  void RecordHostPacket(const FlowPacket& aPacket, Time aNow);
+  void ReportLocation(Table::Entry& aEntry, const Address& aIngress);
+  void SendReset(const FlowKey& aFlow, std::uint32_t aSequence);
   void Forget(const FlowKey& aFlow, Time aNow);
-  std::uint32_t Remember(const SteeredPacket& aSteered, const FlowKey& aFlow);
-  bool MayHoldUnknown(Time aNow) const;
-  void Add(HostFlowEvent aEvent)
+  std::uint32_t AddPending(const SteeredPacket& aSteered, const FlowKey& aFlow);
+  bool MayHoldUnknownFlows(Time aNow) const;
+  void CountEvent(HostFlowEvent aEvent)
   {
     ++mCounts[static_cast<std::size_t>(aEvent)];
   }
@@ -232,20 +252,20 @@
   HostFlowsOutput& mOutput;
   const FlowAdmission mAdmission;
   const Time mStartedAt;
-  HostLife mLife;
+  HostStatus mHostStatus;
   DrainLease mDrain;
   ColdRate mColdRate;
-  /** Lives of the host that were seen to begin. */
-  std::uint32_t mHostLives = 0;
+  /** How many new incarnations of the host were observed. */
+  std::uint32_t mHostIncarnations = 0;
   Table mFlows;
   WorkInProgress mWork;
-  std::array<Pending, kMostPending> mPending;
+  std::array<Pending, kMaxPending> mPending;
   std::uint32_t mNextTag = 1;
   ServiceTime mServiceTime;
-  /** When the oldest opening packet was delivered that no packet of the host
-   * came after; zero if none. */
+  /** Delivery time of the first opening packet since the host last sent
+   * anything; zero if there is none. */
   Time mUnansweredSince{};
-  Time mTriedAt{};
+  Time mLastAdmittedAt{};
   bool mLeaving = false;
   std::array<std::uint64_t, static_cast<std::size_t>(HostFlowEvent::Last) + 1>
     mCounts{};
--- a/src/passthrough/HostFlowsDelivery.cpp
+++ b/src/passthrough/HostFlowsDelivery.cpp
@@ -1,5 +1,5 @@
-// Packets of flows that exist: delivery, the search for a flow's host, and what
-// the host sends and returns.
+// Packets of existing flows: delivery, the search for a flow's host, and the
+// packets that the host sends and returns.
 #include <algorithm>
 #include <utility>
 
@@ -11,17 +11,17 @@
 
 namespace {
 
-/** Longest time that a request counts as being worked on. */
-constexpr auto kWorkAtMost = std::chrono::seconds(8);
-/** Bytes that may be under way to a caller: 16 packets of 1,200 bytes, and
- * four times that, since acknowledgements may be late. */
-constexpr std::uint32_t kLargestWindow = 76800;
+/** How long an unanswered request counts as in progress. */
+constexpr auto kRequestTimeout = std::chrono::seconds(8);
+/** Bytes that may be in flight to a caller: 16 packets of 1,200 bytes, times
+ * four because acknowledgements may be late. */
+constexpr std::uint32_t kMaxWindowBytes = 76800;
 
 } // namespace
 
 /** Whether the caller's packet belongs to a flow that was opened at this host.
- * Two hosts may have answered copies of one opening packet; the caller's
- * acknowledgement names the one that it chose. */
+ * Two hosts may have replied to copies of one opening packet; the caller's
+ * acknowledgement number matches the host that the caller chose. */
 bool HostFlows::IsOpenHere(Flow& aFlow, const FlowPacket& aPacket) const
 {
   if (aFlow.mStage == Stage::Open || !aFlow.mHostSequenceKnown) {
@@ -31,11 +31,11 @@
     return true;
   }
   std::uint32_t ahead = aPacket.mAcknowledged - aFlow.mHostSequence;
-  return ahead <= kLargestWindow;
+  return ahead <= kMaxWindowBytes;
 }
 
-/** Begins the walks of a search, unless the flow is here. The packet is left as
- * a search of this host alone. */
+/** Splits a search into parallel searches of the candidates, unless this host
+ * holds the flow. Leaves aSteered as a search of this host alone. */
 void HostFlows::FanOut(SteeredPacket& aSteered, const FlowPacket& aPacket)
 {
   std::vector<Address> hosts = std::exchange(aSteered.mCandidates, {});
@@ -44,15 +44,15 @@
   if (entry != nullptr && IsOpenHere(entry->mValue, aPacket)) {
     return;
   }
-  SteeredPacket walk = aSteered;
-  for (SearchWalk& it : DealWalks(hosts, kWalksEach)) {
-    walk.mCandidates = std::move(it.mOthers);
-    mOutput.Steer(it.mFirst, walk);
+  SteeredPacket search = aSteered;
+  for (SearchWalk& part : DealWalks(hosts, kWalksEach)) {
+    search.mCandidates = std::move(part.mOthers);
+    mOutput.Steer(part.mFirst, search);
   }
 }
 
-void HostFlows::Continue(SteeredPacket& aSteered, const FlowPacket& aPacket,
-                         Time aNow)
+void HostFlows::DeliverOrForward(SteeredPacket& aSteered,
+                                 const FlowPacket& aPacket, Time aNow)
 {
   FlowKey flow = aPacket.FlowFromCaller();
   Table::Entry* entry = mFlows.Find(flow);
@@ -61,13 +61,13 @@
     return;
   }
   if (entry != nullptr && entry->mValue.mStage != Stage::NotHere) {
-    // The caller opened the flow at another host that had answered too.
+    // The caller opened the flow at another host that also replied.
     Forget(flow, aNow);
-  } else if (entry == nullptr && MayHoldUnknown(aNow)) {
+  } else if (entry == nullptr && MayHoldUnknownFlows(aNow)) {
     Probe(aSteered, flow);
     return;
   }
-  PassSearchOn(aSteered, flow);
+  ForwardSearch(aSteered, flow);
 }
 
 void HostFlows::Deliver(SteeredPacket& aSteered, const FlowPacket& aPacket,
@@ -78,54 +78,55 @@
   if (aPacket.mAck && flow.mStage == Stage::Answered) {
     flow.mStage = Stage::Open;
   }
-  bool isNew = flow.mFromCaller.Take(aPacket.mSequence, aPacket.mDataLength);
+  bool isNew = flow.mFromCaller.Record(aPacket.mSequence, aPacket.mDataLength);
   if (isNew && !flow.mFinished) {
-    mWork.Begin(aEntry.mFlow, aNow, aNow + kWorkAtMost);
+    mWork.Begin(aEntry.mFlow, aNow, aNow + kRequestTimeout);
   }
   if (aPacket.mReset) {
     mWork.End(aEntry.mFlow, aNow);
     flow.mFinished = true;
   }
   if (aSteered.mPurpose == SteerPurpose::Search) {
-    // Who searches does not know, whatever it was told: the report was lost, or
-    // the balancer has restarted since. Untold, it would search for each packet
-    // of the flow, and what waits there for the answer would be dropped.
-    flow.mTold = Address{};
+    // A balancer that searches does not know the flow's host, even if it was
+    // notified before: the report was lost, or the balancer has restarted. With
+    // no new report it would search for every packet of the flow and drop the
+    // packets that wait for the result.
+    flow.mNotifiedBalancer = Address{};
   }
-  Tell(aEntry, aSteered.mIngress);
-  Add(HostFlowEvent::Delivered);
+  ReportLocation(aEntry, aSteered.mIngress);
+  CountEvent(HostFlowEvent::Delivered);
   mFormat.Tag(aSteered.mPacket, 0);
   mOutput.ToHost(aSteered.mPacket);
 }
 
-/** Tells a balancer that did not know it where the flow is, so that the next
- * packet comes straight here. */
-void HostFlows::Tell(Table::Entry& aEntry, const Address& aIngress)
+/** Reports the flow's host to a balancer that was not the last one notified, so
+ * that the next packet is sent to this agent directly. */
+void HostFlows::ReportLocation(Table::Entry& aEntry, const Address& aIngress)
 {
-  if (aEntry.mValue.mTold == aIngress || aIngress.IsNone()) {
+  if (aEntry.mValue.mNotifiedBalancer == aIngress || aIngress.IsNone()) {
     return;
   }
-  aEntry.mValue.mTold = aIngress;
+  aEntry.mValue.mNotifiedBalancer = aIngress;
   mOutput.Report(aIngress,
                  { aEntry.mFlow, mOptions.mHost, PlacementOutcome::Placed });
 }
 
-void HostFlows::PassSearchOn(SteeredPacket& aSteered, const FlowKey& aFlow)
+void HostFlows::ForwardSearch(SteeredPacket& aSteered, const FlowKey& aFlow)
 {
   if (aSteered.mPurpose == SteerPurpose::Deliver) {
-    Add(HostFlowEvent::NotHere);
+    CountEvent(HostFlowEvent::NotHere);
     LogFlow("not_here", { { "flow", aFlow.ToString() } });
     aSteered.mPurpose = SteerPurpose::NotHere;
     mOutput.Steer(aSteered.mIngress, aSteered);
     return;
   }
   if (aSteered.mCandidates.empty()) {
-    // Silence, never a reset: the flow's host may live behind a cut.
-    Add(HostFlowEvent::SearchEnded);
+    // No reset: the flow's host may be alive behind a network partition.
+    CountEvent(HostFlowEvent::SearchEnded);
     LogFlow("search_ended", { { "flow", aFlow.ToString() } });
     return;
   }
-  Add(HostFlowEvent::Searched);
+  CountEvent(HostFlowEvent::Searched);
   Address next = aSteered.mCandidates.front();
   LogFlow("search_passed",
           { { "flow", aFlow.ToString() }, { "to", next.ToString() } });
@@ -133,33 +134,34 @@
   mOutput.Steer(next, aSteered);
 }
 
-bool HostFlows::MayHoldUnknown(Time aNow) const
+bool HostFlows::MayHoldUnknownFlows(Time aNow) const
 {
   return mOptions.mGuards.mAskUnknown &&
-         aNow - mStartedAt < mOptions.mFlowsLastFor &&
-         !mLife.IsKnownFromStart() && mLife.Phase() != HostPhase::Gone;
+         aNow - mStartedAt < mOptions.mFlowRetention &&
+         !mHostStatus.IsObservedFromStart() &&
+         mHostStatus.Phase() != HostPhase::Gone;
 }
 
 void HostFlows::Probe(SteeredPacket& aSteered, const FlowKey& aFlow)
 {
-  Add(HostFlowEvent::Probed);
+  CountEvent(HostFlowEvent::Probed);
   LogFlow("probed", { { "flow", aFlow.ToString() } });
-  mFormat.Tag(aSteered.mPacket, Remember(aSteered, aFlow));
+  mFormat.Tag(aSteered.mPacket, AddPending(aSteered, aFlow));
   mOutput.ToHost(aSteered.mPacket);
 }
 
-std::uint32_t HostFlows::Remember(const SteeredPacket& aSteered,
-                                  const FlowKey& aFlow)
+std::uint32_t HostFlows::AddPending(const SteeredPacket& aSteered,
+                                    const FlowKey& aFlow)
 {
   std::uint32_t tag = mNextTag++;
   if (mNextTag == 0) {
     mNextTag = 1;
   }
-  Pending& pending = mPending[tag % kMostPending];
+  Pending& pending = mPending[tag % kMaxPending];
   pending.mTag = tag;
   pending.mFlow = aFlow;
   pending.mSteered = aSteered;
-  // The bytes come back by themselves.
+  // A returned packet brings its bytes with it.
   pending.mSteered.mPacket.clear();
   return tag;
 }
@@ -168,43 +170,44 @@
 {
   auto packet = mFormat.Parse(aPacket);
   if (!packet) {
-    Add(HostFlowEvent::Malformed);
+    CountEvent(HostFlowEvent::Malformed);
     return;
   }
   mUnansweredSince = Time{};
   if (packet->mBounced) {
-    OnBounced(aPacket, *packet, aNow);
+    OnReturned(aPacket, *packet, aNow);
     return;
   }
-  FromHost(*packet, aNow);
+  RecordHostPacket(*packet, aNow);
   mOutput.ToCaller(packet->mDestination, aPacket);
 }
 
-/** The host does not hold the flow, or has no room for it. The packet goes on
- * to the next candidate as it was; the tag says what had been asked. Each
- * candidate is asked once, which ends the search. */
-void HostFlows::OnBounced(ByteView aBytes, const FlowPacket& aPacket, Time aNow)
+/** The host does not hold the flow, or has no room for it. The packet is
+ * forwarded unchanged to the next candidate; its tag identifies the request.
+ * Each candidate is tried once, so the search terminates. */
+void HostFlows::OnReturned(ByteView aBytes, const FlowPacket& aPacket,
+                           Time aNow)
 {
-  Add(HostFlowEvent::Bounced);
+  CountEvent(HostFlowEvent::Bounced);
   FlowKey flow = aPacket.FlowFromCaller();
   LogFlow("bounced", { { "flow", flow.ToString() },
                        { "opens", aPacket.mSyn },
                        { "tag", aPacket.mTag } });
   Table::Entry* entry = mFlows.Find(flow);
-  Pending& pending = mPending[aPacket.mTag % kMostPending];
+  Pending& pending = mPending[aPacket.mTag % kMaxPending];
   bool isPending =
     aPacket.mTag != 0 && pending.mTag == aPacket.mTag && pending.mFlow == flow;
   if (!isPending) {
-    // The host lost a flow that was open there: it started anew. No other host
-    // can hold it, so the caller is told at once.
+    // The host restarted and lost a flow that was open there. No other host can
+    // hold the flow, so it is reset at once.
     if (entry != nullptr && entry->mValue.mStage == Stage::Open &&
         !entry->mValue.mFinished && !aPacket.mSyn) {
-      Add(HostFlowEvent::FlowLost);
+      CountEvent(HostFlowEvent::FlowLost);
       LogEvent(LogLevel::Warning, "flow_lost",
                { { "flow", flow.ToString() },
-                 { "host", mLife.Id() },
-                 { "host_heard_ms_ago", HeardAgo(aNow) } });
-      Reset(flow, aPacket.mAcknowledged);
+                 { "host", mHostStatus.Id() },
+                 { "host_heard_ms_ago", MsSinceAnnouncement(aNow) } });
+      SendReset(flow, aPacket.mAcknowledged);
     }
     Forget(flow, aNow);
     return;
@@ -215,21 +218,21 @@
   mFormat.Tag(steered.mPacket, 0);
   Forget(flow, aNow);
   if (steered.mPurpose == SteerPurpose::Place) {
-    PassPlacementOn(steered, flow, aNow);
+    ForwardPlacement(steered, flow, aNow);
     return;
   }
-  if (auto* asked = mFlows.Put(flow, aNow)) {
-    asked->mValue.mStage = Stage::NotHere;
+  if (auto* rejected = mFlows.Put(flow, aNow)) {
+    rejected->mValue.mStage = Stage::NotHere;
   }
-  PassSearchOn(steered, flow);
+  ForwardSearch(steered, flow);
 }
 
-void HostFlows::FromHost(const FlowPacket& aPacket, Time aNow)
+void HostFlows::RecordHostPacket(const FlowPacket& aPacket, Time aNow)
 {
   FlowKey key = aPacket.FlowFromHost();
   Table::Entry* entry = mFlows.Put(key, aNow);
   if (entry == nullptr) {
-    Add(HostFlowEvent::TableFull);
+    CountEvent(HostFlowEvent::TableFull);
     return;
   }
   Flow& flow = entry->mValue;
@@ -239,18 +242,18 @@
       mOutput.Measured(HostTiming::Opening, opening.mLasted);
     }
     if (flow.mHostSequenceKnown && flow.mHostSequence != aPacket.mSequence) {
-      // The caller uses its port again for another flow.
-      Address told = flow.mTold;
+      // The caller reused its port for a new flow.
+      Address notified = flow.mNotifiedBalancer;
       flow = {};
-      flow.mTold = told;
+      flow.mNotifiedBalancer = notified;
     }
     flow.mStage = std::max(flow.mStage, Stage::Answered);
     flow.mHostSequence = aPacket.mSequence;
     flow.mHostSequenceKnown = true;
-    flow.mHostLife = mHostLives;
-    mWork.Begin(key, aNow, aNow + kOpenWithin);
-    if (!flow.mTold.IsNone()) {
-      mOutput.Report(flow.mTold,
+    flow.mHostIncarnation = mHostIncarnations;
+    mWork.Begin(key, aNow, aNow + kOpenTimeout);
+    if (!flow.mNotifiedBalancer.IsNone()) {
+      mOutput.Report(flow.mNotifiedBalancer,
                      { key, mOptions.mHost, PlacementOutcome::Placed });
     }
     return;
@@ -259,9 +262,9 @@
   if (aPacket.mDataLength > 0 || aPacket.mFin || aPacket.mReset) {
     auto request = mWork.End(key, aNow);
     if (aPacket.mDataLength > 0 && request.mLasted > Duration::zero()) {
-      Add(HostFlowEvent::Answered);
+      CountEvent(HostFlowEvent::Answered);
       mOutput.Measured(HostTiming::Answer, request.mLasted);
-      mServiceTime.Learn(request.mLasted, request.mAhead, mLife.Slots());
+      mServiceTime.Learn(request.mLasted, request.mAhead, mHostStatus.Slots());
     }
   }
   flow.mFinished = flow.mFinished || aPacket.mFin || aPacket.mReset;
--- /dev/null
+++ b/src/passthrough/HostStatus.cpp
@@ -0,0 +1,114 @@
+#include "src/passthrough/HostStatus.h"
+
+namespace heatherplank {
+
+namespace {
+
+/** Maximum number of earlier ids that are remembered. A host is replaced a few
+ * times a day, and late announcements are seconds old. */
+constexpr std::size_t kMaxEarlierIds = 64;
+
+/** Sequence number of a host's first announcement. */
+constexpr std::uint64_t kFirstSequence = 1;
+
+} // namespace
+
+HostStatus::HostStatus(Duration aAnnouncementTimeout)
+  : mAnnouncementTimeout(aAnnouncementTimeout)
+{
+}
+
+bool HostStatus::IsCurrentIncarnation(
+  const HostAnnouncement& aAnnouncement) const
+{
+  return mHasAnnouncement && aAnnouncement.mId == mId &&
+         (!aAnnouncement.mStartedAt || !mStartedAt ||
+          *aAnnouncement.mStartedAt == *mStartedAt);
+}
+
+/** Failure met: an announcement delayed by a network partition arrives after
+ * another host replaced its sender. It would restore a dead host's state or
+ * mark a live host as gone. Incarnations are ordered by start time; those
+ * without a start time are recognised by the ids of earlier hosts. */
+bool HostStatus::IsEarlierIncarnation(
+  const HostAnnouncement& aAnnouncement) const
+{
+  if (!mHasAnnouncement) {
+    return false;
+  }
+  if (aAnnouncement.mStartedAt && mStartedAt) {
+    return *aAnnouncement.mStartedAt < *mStartedAt;
+  }
+  return mEarlierIds.contains(aAnnouncement.mId);
+}
+
+void HostStatus::BeginIncarnation(const HostAnnouncement& aAnnouncement)
+{
+  if (mHasAnnouncement && mId != aAnnouncement.mId) {
+    if (mEarlierIds.size() >= kMaxEarlierIds) {
+      mEarlierIds.clear();
+    }
+    mEarlierIds.insert(mId);
+  }
+  // An incarnation that begins while this process runs is observed from its
+  // start even if its first announcement is lost.
+  mObservedFromStart =
+    mHasAnnouncement ||
+    aAnnouncement.mSequence.value_or(kFirstSequence + 1) <= kFirstSequence;
+  mHasAnnouncement = true;
+  mId = aAnnouncement.mId;
+  mStartedAt = aAnnouncement.mStartedAt;
+  mSequence = 0;
+  mPhase = HostPhase::Ready;
+}
+
+AnnouncementEffect HostStatus::OnAnnouncement(
+  const HostAnnouncement& aAnnouncement, Time aNow)
+{
+  bool isFirst = !mHasAnnouncement;
+  bool isCurrent = IsCurrentIncarnation(aAnnouncement);
+  if (!isCurrent && IsEarlierIncarnation(aAnnouncement)) {
+    return AnnouncementEffect::Stale;
+  }
+  if (aAnnouncement.mPhase == HostPhase::Gone) {
+    // The Gone announcement of another incarnation doesn't affect this one.
+    if (!isCurrent) {
+      return AnnouncementEffect::Stale;
+    }
+    bool changed = mPhase != HostPhase::Gone;
+    mPhase = HostPhase::Gone;
+    return changed ? AnnouncementEffect::Changed
+                   : AnnouncementEffect::Refreshed;
+  }
+  std::uint64_t sequence = aAnnouncement.mSequence.value_or(0);
+  if (isCurrent && sequence <= mSequence && mSequence > 0) {
+    return AnnouncementEffect::Stale;
+  }
+  if (!isCurrent) {
+    BeginIncarnation(aAnnouncement);
+  }
+  bool changed =
+    mPhase != aAnnouncement.mPhase || mSlots != aAnnouncement.mSlots;
+  mSequence = sequence;
+  mPhase = aAnnouncement.mPhase;
+  mSlots = aAnnouncement.mSlots;
+  mColdUntil = aNow + aAnnouncement.mColdFor;
+  mLastAnnouncementAt = aNow;
+  if (!isCurrent && !isFirst) {
+    return AnnouncementEffect::NewIncarnation;
+  }
+  return changed || isFirst ? AnnouncementEffect::Changed
+                            : AnnouncementEffect::Refreshed;
+}
+
+bool HostStatus::IsHeard(Time aNow) const
+{
+  return mHasAnnouncement && aNow - mLastAnnouncementAt < mAnnouncementTimeout;
+}
+
+bool HostStatus::TakesNewFlows(Time aNow) const
+{
+  return IsHeard(aNow) && mPhase == HostPhase::Ready;
+}
+
+} // namespace heatherplank
--- a/src/passthrough/ServiceTime.h
+++ b/src/passthrough/ServiceTime.h
@@ -7,65 +7,67 @@
 
 namespace heatherplank {
 
-/** How long a host works on a request, from how long its answers take; before
- * the first answer, from the latency target that callers set.
+/** Estimates a host's processing time per request from the response times of
+ * its answers or, before the first answer, from the callers' latency target.
  *
- * Failure met: the time of an answer holds the wait in the host's queue. Taken
- * for work, it makes the next wait look longer than it is, so flows are refused
- * that would be served in time, and with nothing placed the estimate never
- * falls again. Shown by refusals with few requests in progress, long after a
- * surge. An answer therefore counts by the rounds that it waited: those ahead
- * of it over the slots.
+ * Failure met: a response time includes the wait in the host's queue. Used as
+ * processing time, it overestimates the next wait, so flows are refused that
+ * would be served in time; with no flow placed, the estimate never falls again.
+ * The host then refuses flows with few requests in progress, long after a
+ * surge. The response time is therefore divided by the number of rounds: one,
+ * plus the requests ahead divided by the slots.
  *
- * Pattern: a mass return, where no host has answered yet and most flows are
- * placed before one has. A first guess far below the work fills each queue so
- * that every answer in it is late. Callers set targets in proportion to the
- * work they ask for, so a share of the target is the first guess, and more of
- * it while the host is cold, as all are then. Not thread safe.
+ * Pattern: a mass return, where most flows are placed before any host has
+ * answered. An initial estimate far below the processing time fills each queue
+ * so that every answer is late. Callers set targets in proportion to the work
+ * that they request, so the initial estimate is a share of the target, and a
+ * larger share while the host is cold, as all hosts are then. Not thread safe.
  */
 class ServiceTime
 {
 public:
-  static constexpr double kShareOfTarget = 0.15;
-  /** How many times as long a cold host is expected to work. */
+  static constexpr double kInitialTargetShare = 0.15;
+  /** Expected processing time of a cold host relative to a warm one. */
   static constexpr double kColdFactor = 1.5;
-  /** Weight of one more answer in the moving mean: some 20 answers count. */
-  static constexpr int kWeight = 20;
-  /** One answer counts for at most so many times the mean: a host that stood
-   * still for a second is not slower afterwards. */
-  static constexpr int kLargestStep = 4;
+  /** Divisor of the exponential moving mean: about 20 answers count. */
+  static constexpr int kMeanSamples = 20;
+  /** Caps a sample at this multiple of the mean, so that a process stall of one
+   * second doesn't make the host look slow afterwards. */
+  static constexpr int kMaxStep = 4;
 
-  /** Zero before a request was expected. */
+  /** The current estimate; zero before the first Expect. */
   Duration Get() const { return mMean; }
 
-  /** A request with this latency target is about to be placed. */
+  /** Sets the initial estimate for a request that is about to be placed. No
+   * effect once an answer was recorded. */
   void Expect(Duration aTarget, bool aIsCold)
   {
-    if (!mHasLearnt) {
-      double share = kShareOfTarget * (aIsCold ? kColdFactor : 1);
+    if (!mHasSample) {
+      double share = kInitialTargetShare * (aIsCold ? kColdFactor : 1);
       mMean = std::chrono::duration_cast<Duration>(aTarget * share);
     }
   }
 
-  /** aAhead: requests in progress as this one began, without it. Requests that
-   * nobody expected, of flows from before a restart, say nothing. */
+  /** Records an answer. aAhead: other requests in progress when this one began.
+   * Ignored before the first Expect: such requests belong to flows from before
+   * a restart. */
   void Learn(Duration aTook, std::uint32_t aAhead, std::uint32_t aSlots)
   {
     if (mMean == Duration::zero()) {
       return;
     }
-    mHasLearnt = true;
+    mHasSample = true;
     std::uint32_t rounds = 1 + aAhead / std::max(aSlots, 1U);
-    Duration work = std::min<Duration>(aTook / rounds, kLargestStep * mMean);
-    mMean += (work - mMean) / kWeight;
+    Duration work = std::min<Duration>(aTook / rounds, kMaxStep * mMean);
+    mMean += (work - mMean) / kMeanSamples;
   }
 
-  /** The host started anew. */
-  void Reset() { mHasLearnt = false; }
+  /** Call when the host restarted: Expect sets the estimate again. */
+  void Reset() { mHasSample = false; }
 
 private:
   Duration mMean{};
-  bool mHasLearnt = false;
+  bool mHasSample = false;
 };
 
 } // namespace heatherplank
--- a/src/passthrough/WorkInProgress.cpp
+++ b/src/passthrough/WorkInProgress.cpp
@@ -4,10 +4,10 @@
 
 namespace heatherplank {
 
-void WorkInProgress::Begin(const FlowKey& aFlow, Time aNow, Time aUntil)
+void WorkInProgress::Begin(const FlowKey& aFlow, Time aNow, Time aExpiresAt)
 {
   auto it = mWork.try_emplace(aFlow).first;
-  it->second = { aNow, aUntil, Size() - 1 };
+  it->second = { aNow, aExpiresAt, Size() - 1 };
 }
 
 WorkInProgress::Ended WorkInProgress::End(const FlowKey& aFlow, Time aNow)
@@ -16,7 +16,7 @@
   if (it == mWork.end()) {
     return {};
   }
-  Ended out{ std::max(aNow - it->second.mSince, Duration(1)),
+  Ended out{ std::max(aNow - it->second.mBeganAt, Duration(1)),
              it->second.mAhead };
   mWork.erase(it);
   return out;
@@ -25,13 +25,13 @@
 void WorkInProgress::Expire(Time aNow)
 {
   std::erase_if(mWork,
-                [&](const auto& aIt) { return aIt.second.mUntil <= aNow; });
+                [&](const auto& aIt) { return aIt.second.mExpiresAt <= aNow; });
 }
 
 void WorkInProgress::DropOlderThan(Time aBefore)
 {
   std::erase_if(mWork,
-                [&](const auto& aIt) { return aIt.second.mSince < aBefore; });
+                [&](const auto& aIt) { return aIt.second.mBeganAt < aBefore; });
 }
 
 } // namespace heatherplank
--- a/src/passthrough/WorkInProgress.h
+++ b/src/passthrough/WorkInProgress.h
@@ -8,34 +8,34 @@
 
 namespace heatherplank {
 
-/** The requests that a host works on or is about to be given, counted from what
- * its agent sees of the flows. Each count ends with the answer, or by itself
- * after a while: flows that never open and hosts that never answer must not
- * take a slot for ever. Not thread safe.
+/** Counts the requests that a host processes or is about to receive, from the
+ * packets that its agent sees. An entry ends with the answer or expires: flows
+ * that never open and hosts that never answer must not occupy a slot forever.
+ * Not thread safe.
  */
 class WorkInProgress
 {
 public:
-  /** Counts a flow until End, at most until aUntil. Counted twice, the later
-   * limit holds. */
-  void Begin(const FlowKey& aFlow, Time aNow, Time aUntil);
+  /** Counts a flow until End, at most until aExpiresAt. A second call for the
+   * same flow replaces the first. */
+  void Begin(const FlowKey& aFlow, Time aNow, Time aExpiresAt);
 
-  /** What was counted for a flow. */
+  /** The entry of a flow that ended. */
   struct Ended
   {
-    /** How long; zero if it was not counted. */
+    /** Duration of the entry; zero if the flow was not counted. */
     Duration mLasted{};
-    /** How many others were counted as it began. */
+    /** Number of other flows counted when this one began. */
     std::uint32_t mAhead = 0;
   };
 
-  /** The flow's request was answered, or will not come. */
+  /** Ends the entry of a flow whose request was answered or will not arrive. */
   Ended End(const FlowKey& aFlow, Time aNow);
 
-  /** Drops counts whose time is over. Call it a few times a second. */
+  /** Drops expired entries. Call a few times a second. */
   void Expire(Time aNow);
 
-  /** Drops every count that began before aBefore. */
+  /** Drops every entry that began before aBefore. */
   void DropOlderThan(Time aBefore);
 
   std::uint32_t Size() const
@@ -46,8 +46,8 @@
 private:
   struct Work
   {
-    Time mSince;
-    Time mUntil;
+    Time mBeganAt;
+    Time mExpiresAt;
     std::uint32_t mAhead = 0;
   };
   std::unordered_map<FlowKey, Work> mWork;
--- a/tests/ColdRateTest.cpp
+++ b/tests/ColdRateTest.cpp
@@ -16,34 +16,34 @@
 TEST_GROUP(ColdRate)
 {
   ManualClock mClock;
-  std::vector<Time> mTaken;
+  std::vector<Time> mAdmittedAt;
 
   bool Offer(ColdRate & aRate, Importance aImportance)
   {
     bool takes = aRate.Allows(kRate, aImportance, mClock.Now());
     if (takes) {
-      aRate.OnTaken(mClock.Now());
-      mTaken.push_back(mClock.Now());
+      aRate.OnAdmitted(mClock.Now());
+      mAdmittedAt.push_back(mClock.Now());
     }
     return takes;
   }
 
-  std::size_t MostInASecond() const
+  std::size_t MaxInASecond() const
   {
-    std::size_t most = 0;
-    for (Time from : mTaken) {
-      most = std::max<std::size_t>(most,
-                                   std::ranges::count_if(mTaken, [&](Time aIt) {
-                                     return aIt >= from && aIt - from < 1s;
-                                   }));
+    std::size_t peak = 0;
+    for (Time from : mAdmittedAt) {
+      peak = std::max<std::size_t>(
+        peak, std::ranges::count_if(mAdmittedAt, [&](Time aIt) {
+          return aIt >= from && aIt - from < 1s;
+        }));
     }
-    return most;
+    return peak;
   }
 };
 
-// Load: all callers of a returned data centre at once, ten times what its hosts
-// bear, for three seconds.
-TEST(ColdRate, NoSpanOfASecondHoldsMoreThanTheRate)
+// Load: all callers of a restarted data centre at once, ten times the hosts'
+// capacity, for three seconds.
+TEST(ColdRate, NoWindowOfASecondExceedsTheRate)
 {
   mClock.Advance(1s);
   ColdRate rate(mClock.Now() - 1s);
@@ -51,12 +51,12 @@
     Offer(rate, Importance::High);
     mClock.Advance(5ms);
   }
-  CHECK_EQUAL(20, MostInASecond());
-  CHECK_EQUAL(60, mTaken.size());
+  CHECK_EQUAL(20, MaxInASecond());
+  CHECK_EQUAL(60, mAdmittedAt.size());
 }
 
 // Load: ordinary flows first, then important ones, while all hosts are cold.
-TEST(ColdRate, TheLastPartIsForTheImportant)
+TEST(ColdRate, LastPartIsReservedForImportantFlows)
 {
   mClock.Advance(1s);
   ColdRate rate(mClock.Now() - 1s);
@@ -72,9 +72,9 @@
   CHECK_EQUAL(4, important);
 }
 
-// Guards against an agent that restarts within the second and gives its cold
-// host a second helping.
-TEST(ColdRate, AnAgentsFirstSecondCountsAsUsedUp)
+// Guards against an agent that restarts within the window and gives its cold
+// host the full rate a second time.
+TEST(ColdRate, FirstWindowAfterAgentStartCountsAsUsedUp)
 {
   ColdRate before(mClock.Now() - 1s);
   while (Offer(before, Importance::High)) {
@@ -85,20 +85,20 @@
     Offer(after, Importance::High);
     mClock.Advance(20ms);
   }
-  CHECK_EQUAL(20, MostInASecond());
+  CHECK_EQUAL(20, MaxInASecond());
 }
 
-TEST(ColdRate, WithoutABoundEverythingIsAllowed)
+TEST(ColdRate, RateOfZeroMeansNoLimit)
 {
   ColdRate rate(mClock.Now());
   CHECK_TRUE(rate.Allows(0, Importance::Low, mClock.Now()));
 }
 
-// A rate below one a second still lets the host warm up.
-TEST(ColdRate, ASmallRateLetsOneIn)
+// A rate below one flow a second still admits one, so that the host warms up.
+TEST(ColdRate, RateBelowOneAdmitsOneFlow)
 {
   ColdRate rate(mClock.Now() - 1s);
   CHECK_TRUE(rate.Allows(0.5, Importance::Normal, mClock.Now()));
-  rate.OnTaken(mClock.Now());
+  rate.OnAdmitted(mClock.Now());
   CHECK_FALSE(rate.Allows(0.5, Importance::High, mClock.Now()));
 }
--- a/tests/DrainLeaseTest.cpp
+++ b/tests/DrainLeaseTest.cpp
@@ -16,29 +16,30 @@
   }
 };
 
-TEST(DrainLease, HoldsWhileNoticesCome)
+TEST(DrainLease, IsRenewedByNoticesAndExpires)
 {
   CHECK_FALSE(IsDrained());
   mDrain.OnNotice(100, mClock.Now());
-  mClock.Advance(DrainLease::kHeldFor - 1ms);
+  mClock.Advance(DrainLease::kDuration - 1ms);
   mDrain.OnNotice(100, mClock.Now());
-  mClock.Advance(DrainLease::kHeldFor - 1ms);
+  mClock.Advance(DrainLease::kDuration - 1ms);
   CHECK_TRUE(IsDrained());
   mClock.Advance(1ms);
   CHECK_FALSE(IsDrained());
 }
 
-// Guards against a balancer that is behind and still names the host.
-TEST(DrainLease, AnOfferOfABalancerThatIsBehindEndsNothing)
+// Guards against a balancer with outdated state that still offers flows to the
+// host.
+TEST(DrainLease, OfferWithAnOlderVersionDoesNotEndTheDrain)
 {
   mDrain.OnNotice(100, mClock.Now());
   mDrain.OnOffer(99, mClock.Now());
   CHECK_TRUE(IsDrained());
 }
 
-// Guards against a drain that lasts on after it was taken back: order and
-// take-back overtake each other on the way to the agent.
-TEST(DrainLease, ALaterStateEndsItWhateverComesAfter)
+// Guards against a drain that continues after the operator ended it, because
+// the messages that start and end it are reordered on their way to the agent.
+TEST(DrainLease, OfferWithANewerVersionEndsTheDrainDespiteLateNotices)
 {
   mDrain.OnNotice(100, mClock.Now());
   mDrain.OnOffer(105, mClock.Now());
--- a/tests/FlowAdmissionTest.cpp
+++ b/tests/FlowAdmissionTest.cpp
@@ -34,7 +34,7 @@
   return out;
 }
 
-/** Seven hosts of two slots under a load that is a fifth important. */
+/** Seven hosts of two slots; a fifth of the load is important. */
 struct Farm : FlowFarm
 {
   explicit Farm(unsigned aSeed)
@@ -59,62 +59,63 @@
   static constexpr double kTargetMs = 100;
 };
 
-/** Seven hosts at half load, and callers that waited for a second of outage.
- * Gives the share of the fresh that is in time, and of the late that is served
- * at all. aYields: late ones yield to fresh ones. */
-std::pair<double, double> PlayReturn(bool aYields)
+/** Seven hosts at half load, and callers that waited during an outage of one
+ * second. Returns the share of new flows answered in time, and the share of
+ * late flows that are served at all. aLateYields: retransmissions that will be
+ * repeated yield to new flows. */
+std::pair<double, double> PlayMassReturn(bool aLateYields)
 {
   constexpr int kLate = 470;
-  constexpr double kFreshPerMs = 0.47;
-  constexpr double kBackWithinMs = 400;
-  constexpr double kNextRepeatMs = 400;
+  constexpr double kNewFlowsPerMs = 0.47;
+  constexpr double kReturnWindowMs = 400;
+  constexpr double kRetransmitIntervalMs = 400;
   Farm farm(11);
   FlowClass ordinary;
-  std::exponential_distribution<double> gap(kFreshPerMs);
-  std::uniform_real_distribution<double> back(0, kBackWithinMs);
+  std::exponential_distribution<double> gap(kNewFlowsPerMs);
+  std::uniform_real_distribution<double> returnAt(0, kReturnWindowMs);
   std::lognormal_distribution<double> work(2.6, 0.5);
   enum class Kind
   {
-    Fresh,
-    Repeat,
-    LastRepeat,
+    NewFlow,
+    Retransmission,
+    LastRetransmission,
   };
   std::multimap<double, Kind> arrivals;
   for (int i = 0; i < kLate; ++i) {
-    arrivals.emplace(back(farm.mRandom), Kind::Repeat);
+    arrivals.emplace(returnAt(farm.mRandom), Kind::Retransmission);
   }
   for (double at = 0; at < 1000; at += gap(farm.mRandom)) {
-    arrivals.emplace(at, Kind::Fresh);
+    arrivals.emplace(at, Kind::NewFlow);
   }
-  FlowTally fresh;
+  FlowTally newFlows;
   int lateServed = 0;
   double now = 0;
   for (; !arrivals.empty(); arrivals.erase(arrivals.begin())) {
     auto [at, kind] = *arrivals.begin();
     farm.Advance(at - now);
     now = at;
-    bool returns = kind == Kind::Repeat;
+    bool retransmitsAgain = kind == Kind::Retransmission;
     auto* host = farm.Walk(farm.Ranks(farm.mRandom(), farm.mHosts.size()),
-                           ordinary, aYields && returns);
-    fresh.mAsked += kind == Kind::Fresh ? 1 : 0;
+                           ordinary, aLateYields && retransmitsAgain);
+    newFlows.mAsked += kind == Kind::NewFlow ? 1 : 0;
     if (host == nullptr) {
-      if (returns) {
-        arrivals.emplace(at + kNextRepeatMs, Kind::LastRepeat);
+      if (retransmitsAgain) {
+        arrivals.emplace(at + kRetransmitIntervalMs, Kind::LastRetransmission);
       }
       continue;
     }
     double took = farm.Run(*host, work(farm.mRandom)) + FlowFarm::kNetworkMs;
-    if (kind == Kind::Fresh) {
-      fresh.mInTime += took <= ordinary.mTargetMs ? 1 : 0;
+    if (kind == Kind::NewFlow) {
+      newFlows.mInTime += took <= ordinary.mTargetMs ? 1 : 0;
     } else {
       ++lateServed;
     }
   }
-  return { fresh.Share(), static_cast<double>(lateServed) / kLate };
+  return { newFlows.Share(), static_cast<double>(lateServed) / kLate };
 }
 
-constexpr auto kWalk = FlowPlacement::Walk;
-constexpr auto kBlind = FlowPlacement::Modulo;
+constexpr auto kByAdmission = FlowPlacement::Walk;
+constexpr auto kByHash = FlowPlacement::Modulo;
 
 } // namespace
 
@@ -123,13 +124,13 @@
   FlowAdmission mAdmission;
 };
 
-TEST(FlowAdmission, TakesWithAFreeSlotAndPassesOnWithout)
+TEST(FlowAdmission, AdmitsWithAFreeSlotAndForwardsOtherwise)
 {
   CHECK(mAdmission.Decide(Host(1), Offer(true)) == FlowDecision::Take);
   CHECK(mAdmission.Decide(Host(2), Offer(true)) == FlowDecision::PassOn);
 }
 
-TEST(FlowAdmission, TheLastOneGoesBackToTheShortestQueue)
+TEST(FlowAdmission, LastCandidateForwardsToTheShortestWait)
 {
   auto offer = Offer(false);
   offer.mHasBest = true;
@@ -139,7 +140,7 @@
   CHECK(mAdmission.Decide(Host(4), offer) == FlowDecision::Take);
 }
 
-TEST(FlowAdmission, RefusesWhatWouldBeLateAndLetsTheImportantWaitLonger)
+TEST(FlowAdmission, RefusesLateFlowsAndLetsImportantOnesWaitLonger)
 {
   // Six in progress at two slots: one more waits 38 ms of 100.
   CHECK(mAdmission.Decide(Host(6), Offer(false)) == FlowDecision::Take);
@@ -150,9 +151,10 @@
         FlowDecision::Refuse);
 }
 
-// A host says that it leaves, or was not heard since its agent started. It gets
-// nothing new, whoever asks; with no other host the caller is told at once.
-TEST(FlowAdmission, AHostThatTakesNothingNewGetsNothing)
+// A host is draining, or its agent has received no announcement since it
+// started. The host gets no new flow under any offer; if there is no other
+// candidate, the flow is refused at once.
+TEST(FlowAdmission, HostThatTakesNoNewFlowsGetsNone)
 {
   HostCondition leaving = Host(0);
   leaving.mTakesNewFlows = false;
@@ -163,7 +165,7 @@
   CHECK(mAdmission.Decide(leaving, must) == FlowDecision::Refuse);
 }
 
-TEST(FlowAdmission, AHostThatSeemsDownIsTheLastResort)
+TEST(FlowAdmission, HostThatSeemsDownIsTheLastResort)
 {
   HostCondition down = Host(0);
   down.mSeemsDown = true;
@@ -174,7 +176,7 @@
   CHECK(mAdmission.Decide(down, Offer(false)) == FlowDecision::Take);
 }
 
-TEST(FlowAdmission, AColdHostKeepsOneSlotFree)
+TEST(FlowAdmission, ColdHostLeavesOneSlotFree)
 {
   HostCondition cold = Host(1);
   cold.mIsCold = true;
@@ -183,147 +185,150 @@
   CHECK(mAdmission.Decide(cold, Offer(true)) == FlowDecision::Take);
 }
 
-// Load: half of what the slots can do, the ordinary course. Blind placement
-// lets one request in some wait behind others while slots are free.
-TEST(FlowAdmission, AtHalfLoadNobodyWaits)
+// Load: half of the slots' capacity, the normal case. Placement regardless of
+// load makes some requests queue while other slots are free.
+TEST(FlowAdmission, AtHalfLoadFlowsDoNotQueue)
 {
-  Farm walk(1);
-  walk.Play(470, 60, kWalk);
-  Farm blind(1);
-  blind.Play(470, 60, kBlind);
-  CHECK_TRUE(walk.Ordinary().Share() > 0.997);
-  CHECK_TRUE(walk.Ordinary().Share() > blind.Ordinary().Share());
-  CHECK_EQUAL(0, walk.Ordinary().mRefused);
+  Farm admitted(1);
+  admitted.Play(470, 60, kByAdmission);
+  Farm hashed(1);
+  hashed.Play(470, 60, kByHash);
+  CHECK_TRUE(admitted.Ordinary().Share() > 0.997);
+  CHECK_TRUE(admitted.Ordinary().Share() > hashed.Ordinary().Share());
+  CHECK_EQUAL(0, admitted.Ordinary().mRefused);
 }
 
-// Load: one host of seven works four times slower, unknown to anybody. The walk
-// meets its busy slots and goes on; blind placement queues there.
-TEST(FlowAdmission, ASlowHostCostsLittle)
+// Load: one host of seven is four times slower, and no process knows. Its agent
+// forwards flows while its slots are busy; placement regardless of load queues
+// them there.
+TEST(FlowAdmission, SlowHostDelaysFewFlows)
 {
-  Farm walk(2);
-  walk.mHosts[3].mSlowness = 4;
-  walk.Play(470, 60, kWalk);
-  Farm blind(2);
-  blind.mHosts[3].mSlowness = 4;
-  blind.Play(470, 60, kBlind);
-  CHECK_TRUE(walk.Ordinary().Share() > 0.96);
-  CHECK_TRUE(blind.Ordinary().Share() < 0.93);
+  Farm admitted(2);
+  admitted.mHosts[3].mSlowness = 4;
+  admitted.Play(470, 60, kByAdmission);
+  Farm hashed(2);
+  hashed.mHosts[3].mSlowness = 4;
+  hashed.Play(470, 60, kByHash);
+  CHECK_TRUE(admitted.Ordinary().Share() > 0.96);
+  CHECK_TRUE(hashed.Ordinary().Share() < 0.93);
 }
 
-// Load: 1.4 times what the slots can do, for a minute. Blind queues
-// grow until every answer is late. The important is answered in time first, and
-// the slots stay busy with what still can be.
-TEST(FlowAdmission, InSaturationTheImportantIsServedInTime)
+// Load: 1.4 times the slots' capacity, for a minute. With placement regardless
+// of load the queues grow until every answer is late. Admission answers
+// important flows in time first and uses the other slots for flows that can
+// still be in time.
+TEST(FlowAdmission, InSaturationImportantFlowsAreServedInTime)
 {
-  Farm walk(3);
-  walk.Play(1300, 60, kWalk);
-  Farm blind(3);
-  blind.Play(1300, 60, kBlind);
-  CHECK_TRUE(walk.Important().Share() > 0.9);
-  CHECK_TRUE(walk.Ordinary().Share() > 0.55);
-  CHECK_TRUE(blind.Important().Share() < 0.1);
+  Farm admitted(3);
+  admitted.Play(1300, 60, kByAdmission);
+  Farm hashed(3);
+  hashed.Play(1300, 60, kByHash);
+  CHECK_TRUE(admitted.Important().Share() > 0.9);
+  CHECK_TRUE(admitted.Ordinary().Share() > 0.55);
+  CHECK_TRUE(hashed.Important().Share() < 0.1);
 }
 
-// Load: 1.4 times what the slots can do, with a target so long that the places
-// to wait at run out first. Places kept for the important decide then.
-TEST(FlowAdmission, InSaturationTheImportantFindsAPlaceToWaitAt)
+// Load: 1.4 times the slots' capacity, with a target so long that the queue is
+// full before the target limits the wait. The queue places reserved for
+// important flows keep those in time.
+TEST(FlowAdmission, InSaturationImportantFlowsUseReservedQueuePlaces)
 {
-  Farm walk(9);
-  walk.Play(1300, 60, kWalk, 200);
-  CHECK_TRUE(walk.Important().Share() > 0.99);
-  CHECK_TRUE(walk.Ordinary().Share() > 0.55);
+  Farm farm(9);
+  farm.Play(1300, 60, kByAdmission, 200);
+  CHECK_TRUE(farm.Important().Share() > 0.99);
+  CHECK_TRUE(farm.Ordinary().Share() > 0.55);
 }
 
-// Load: three times the slots for a second amid half load. What is refused is
-// told so at once, and the queue is gone when the burst is.
-TEST(FlowAdmission, ABurstLeavesNoQueueBehind)
+// Load: three times the slots' capacity for a second, between periods of half
+// load. Flows are refused at once, and no queue outlasts the burst.
+TEST(FlowAdmission, BurstLeavesNoQueue)
 {
-  Farm walk(4);
-  walk.Play(470, 5, kWalk);
-  walk.Ordinary() = {};
-  walk.Play(2800, 1, kWalk);
-  CHECK_TRUE(walk.Ordinary().mRefused > 0);
-  walk.Ordinary() = {};
-  walk.Play(470, 5, kWalk);
-  CHECK_TRUE(walk.Ordinary().Share() > 0.98);
+  Farm farm(4);
+  farm.Play(470, 5, kByAdmission);
+  farm.Ordinary() = {};
+  farm.Play(2800, 1, kByAdmission);
+  CHECK_TRUE(farm.Ordinary().mRefused > 0);
+  farm.Ordinary() = {};
+  farm.Play(470, 5, kByAdmission);
+  CHECK_TRUE(farm.Ordinary().Share() > 0.98);
 }
 
-// Load: everybody comes back at once after an outage, three seconds' worth of
-// requests in half a second. What can't be in time is told so at once, the
-// important is served first, and a second later nobody notices any more.
-TEST(FlowAdmission, AMassReturnIsOverSoon)
+// Load: all callers return at once after an outage, with three seconds' worth
+// of requests in half a second. Flows that can't be in time are refused at
+// once, important flows are served first, and a second later no flow is
+// affected.
+TEST(FlowAdmission, MassReturnIsOverWithinASecond)
 {
-  Farm walk(7);
-  walk.Play(2800, 0.5, kWalk);
-  CHECK_TRUE(walk.Important().Share() > 0.8);
-  CHECK_TRUE(walk.Ordinary().mRefused > walk.Ordinary().mAsked / 3);
-  walk.Play(470, 1, kWalk);
-  walk.Ordinary() = {};
-  walk.Play(470, 5, kWalk);
-  CHECK_EQUAL(0, walk.Ordinary().mRefused);
-  CHECK_TRUE(walk.Ordinary().Share() > 0.99);
+  Farm farm(7);
+  farm.Play(2800, 0.5, kByAdmission);
+  CHECK_TRUE(farm.Important().Share() > 0.8);
+  CHECK_TRUE(farm.Ordinary().mRefused > farm.Ordinary().mAsked / 3);
+  farm.Play(470, 1, kByAdmission);
+  farm.Ordinary() = {};
+  farm.Play(470, 5, kByAdmission);
+  CHECK_EQUAL(0, farm.Ordinary().mRefused);
+  CHECK_TRUE(farm.Ordinary().Share() > 0.99);
 }
 
-// Load: all hosts were away for a second. Those who asked meanwhile come back
-// within 0.4 s, twice as many as the slots can take beside the fresh ones; the
-// latter could still be in time. Left unanswered once, the late come again 0.4
-// s later. An answer that is late is worth some three tenths of one in time; in
-// all, callers must get more, and few of the late may pay for it.
-TEST(FlowAdmission, AfterAnOutageTheFreshGoBeforeTheLate)
+// Load: all hosts were unreachable for a second. The callers of that second
+// retransmit within 0.4 s, twice as many as the slots can serve beside the new
+// flows, which could still be in time. A retransmission without a reply is
+// repeated 0.4 s later. A late answer is worth about 0.3 of one in time; the
+// total value must rise, and few late flows may be lost.
+TEST(FlowAdmission, AfterAnOutageNewFlowsPrecedeLateOnes)
 {
-  auto [fresh, served] = PlayReturn(true);
-  auto [freshWithout, servedWithout] = PlayReturn(false);
-  constexpr double kWorthOfLate = 0.3;
-  CHECK_TRUE(fresh > 0.9);
-  CHECK_TRUE(served > 0.85);
-  CHECK_TRUE(fresh + kWorthOfLate * served >
-             freshWithout + kWorthOfLate * servedWithout + 0.05);
+  auto [newInTime, lateServed] = PlayMassReturn(true);
+  auto [newInTimeWithout, lateServedWithout] = PlayMassReturn(false);
+  constexpr double kLateAnswerValue = 0.3;
+  CHECK_TRUE(newInTime > 0.9);
+  CHECK_TRUE(lateServed > 0.85);
+  CHECK_TRUE(newInTime + kLateAnswerValue * lateServed >
+             newInTimeWithout + kLateAnswerValue * lateServedWithout + 0.05);
 }
 
-// Load: a few callers make most of the flows, so that their ranks begin at the
-// same two hosts. The walk spreads them over all slots all the same.
-TEST(FlowAdmission, AFewBusyCallersDoNotFillTheirFirstHosts)
+// Load: a few callers open most of the flows, so most candidate lists begin
+// with the same two hosts. Forwarding still spreads the flows over all slots.
+TEST(FlowAdmission, FlowsOfAFewBusyCallersSpreadOverAllHosts)
 {
-  Farm walk(8);
+  Farm farm(8);
   FlowClass ordinary;
   std::exponential_distribution<double> gap(0.47);
   std::lognormal_distribution<double> work(2.6, 0.5);
-  int asked = 0;
+  int offered = 0;
   int inTime = 0;
   for (int i = 0; i < 9400; ++i) {
-    walk.Advance(gap(walk.mRandom));
+    farm.Advance(gap(farm.mRandom));
     std::size_t first =
-      walk.mRandom() % 10 < 8 ? walk.mRandom() % 2 : walk.mRandom() % 7;
+      farm.mRandom() % 10 < 8 ? farm.mRandom() % 2 : farm.mRandom() % 7;
     std::vector<std::size_t> ring;
     for (std::size_t host = 0; host < 7; ++host) {
       ring.push_back((first + host) % 7);
     }
-    auto* host = walk.Walk(ring, ordinary);
-    ++asked;
+    auto* host = farm.Walk(ring, ordinary);
+    ++offered;
     inTime +=
-      host != nullptr && walk.Run(*host, work(walk.mRandom)) <= 88 ? 1 : 0;
+      host != nullptr && farm.Run(*host, work(farm.mRandom)) <= 88 ? 1 : 0;
   }
-  CHECK_TRUE(inTime > asked * 0.995);
+  CHECK_TRUE(inTime > offered * 0.995);
 }
 
-// Load: few requests that take twenty times as long among many short ones.
-TEST(FlowAdmission, LongWorkAmongShortBlocksNobodyWhileSlotsAreFree)
+// Load: three requests of 5 s each among many short ones.
+TEST(FlowAdmission, LongRequestsDelayNoOthersWhileSlotsAreFree)
 {
-  Farm walk(5);
+  Farm farm(5);
   std::mt19937 random(6);
   for (int i = 0; i < 3; ++i) {
-    walk.Run(walk.mHosts[random() % 7], 5000);
+    farm.Run(farm.mHosts[random() % 7], 5000);
   }
-  walk.Play(350, 5, kWalk);
-  CHECK_TRUE(walk.Ordinary().Share() > 0.99);
+  farm.Play(350, 5, kByAdmission);
+  CHECK_TRUE(farm.Ordinary().Share() > 0.99);
 }
 
-// Deployments of many shapes: hosts, slots, work and targets drawn by seed,
-// some important work beside the rest. Limits that were tried on one of them
-// must not fail on another: at half load hardly anybody is late or refused, and
-// at 1.3 times the slots the important is served first and the slots are not
-// idle.
-TEST(FlowAdmission, DeploymentsOfOtherShapesAreServedAlike)
+// Hosts, slots, processing times and targets are drawn by seed, with a fifth of
+// the load important. Limits tuned on one deployment must hold on the others:
+// at half load hardly any flow is late or refused, and at 1.3 times the slots'
+// capacity important flows are served first and the slots stay busy.
+TEST(FlowAdmission, LimitsHoldForOtherDeployments)
 {
   for (unsigned seed = 1; seed <= 20; ++seed) {
     std::mt19937 random(seed);
@@ -341,7 +346,7 @@
         { "important", 0.2 * aLoad * perSecond, workMs, targetMs,
           Importance::High },
       };
-      farm.Play(classes, 4, kWalk);
+      farm.Play(classes, 4, kByAdmission);
       return farm.mTallies;
     };
     auto half = play(0.5);
@@ -349,7 +354,7 @@
     CHECK_TRUE(half[1].Share() > 0.98);
     auto over = play(1.3);
     CHECK_TRUE(over[1].Share() > 0.9);
-    // Four fifths of the ordinary that fits beside the important.
+    // Four fifths of the ordinary flows that fit beside the important ones.
     double fits = (1 / 1.3 - 0.2) / 0.8;
     CHECK_TRUE(over[0].Share() > 0.8 * fits);
   }
--- a/tests/HostFlowsDrainTest.cpp
+++ b/tests/HostFlowsDrainTest.cpp
@@ -12,8 +12,8 @@
     mFlows->OnDrainNotice({ aVersion }, mClock.Now());
   }
 
-  void OfferTo(std::uint16_t aPort, std::uint64_t aDrainsVersion,
-               double aColdRate = 0)
+  void Offer(std::uint16_t aPort, std::uint64_t aDrainsVersion,
+             double aColdRate = 0)
   {
     SteeredPacket steered;
     steered.mService = MakeServiceId("s");
@@ -30,32 +30,32 @@
     mFlows->OnSteered(steered, mClock.Now());
   }
 
-  void BeatCold(Duration aFor)
+  void AnnounceCold(Duration aFor)
   {
-    HostAnnouncement beat;
-    beat.mId = "i";
-    beat.mStartedAt = 1;
-    beat.mSequence = ++mBeats;
-    beat.mSlots = 200;
-    beat.mColdFor = aFor;
-    mFlows->OnAnnouncement(beat, mClock.Now());
+    HostAnnouncement announcement;
+    announcement.mId = "i";
+    announcement.mStartedAt = 1;
+    announcement.mSequence = ++mAnnouncements;
+    announcement.mSlots = 200;
+    announcement.mColdFor = aFor;
+    mFlows->OnAnnouncement(announcement, mClock.Now());
   }
 };
 
-// Guards against a flow that a balancer behind a cut opens in a drained data
-// centre.
-TEST(HostFlowsDrain, ADrainedHostTakesNothingOfABalancerThatIsBehind)
+// Guards against a flow that an isolated balancer with outdated drain state
+// opens in a drained data centre.
+TEST(HostFlowsDrain, DrainedHostForwardsFlowsOfAnOutdatedBalancer)
 {
-  Beat();
+  Announce();
   Notice();
-  OfferTo(1, kVersion - 1);
+  Offer(1, kVersion - 1);
   CHECK_EQUAL(0, mOut.mToHost.size());
   CHECK_EQUAL(1, mOut.mSteered.size());
 }
 
-TEST(HostFlowsDrain, FlowsThatAreOpenLiveOn)
+TEST(HostFlowsDrain, OpenFlowsContinueDuringADrain)
 {
-  Beat();
+  Announce();
   Open();
   Notice();
   std::size_t before = mOut.mToHost.size();
@@ -63,66 +63,66 @@
   CHECK_EQUAL(before + 1, mOut.mToHost.size());
 }
 
-// Guards against a copy of an unanswered opening packet, which would open a
-// flow at a host that is drained by now.
-TEST(HostFlowsDrain, ACopyOpensNothingAtADrainedHost)
+// Guards against the repeat of an unanswered opening packet, which would open a
+// flow at a host that has been drained since the first one.
+TEST(HostFlowsDrain, RepeatedOpeningIsNotDeliveredToADrainedHost)
 {
-  Beat();
+  Announce();
   Steer(SteerPurpose::Place, Packet(kSyn, 1, 0));
   Notice();
   Steer(SteerPurpose::Place, Packet(kSyn, 1, 1), true);
   CHECK_EQUAL(1, mOut.mToHost.size());
 }
 
-TEST(HostFlowsDrain, TakenBackItIsInUseAtOnce)
+TEST(HostFlowsDrain, HostTakesFlowsAtOnceWhenTheDrainEnds)
 {
-  Beat();
+  Announce();
   Notice();
-  OfferTo(1, kVersion + 1);
+  Offer(1, kVersion + 1);
   CHECK_EQUAL(1, mOut.mToHost.size());
 }
 
-// Load: a data centre's cold hosts are the freest of all, and all callers are
-// sent there.
-TEST(HostFlowsDrain, AColdHostPassesOnWhatItDoesNotBear)
+// Load: the cold hosts of a data centre are the least loaded, so all new flows
+// are offered to them.
+TEST(HostFlowsDrain, ColdHostForwardsFlowsAboveItsRate)
 {
   mClock.Advance(2s);
-  BeatCold(5s);
+  AnnounceCold(5s);
   for (std::uint16_t i = 0; i < 50; ++i) {
-    OfferTo(i, 0, 20);
+    Offer(i, 0, 20);
   }
   CHECK_EQUAL(20, mOut.mToHost.size());
   CHECK_EQUAL(30, mOut.mSteered.size());
-  // It is not named as the freest host of the walk either.
+  // Nor is it entered as the candidate with the shortest wait.
   CHECK_TRUE(mOut.mSteered.back().second.mBest.IsNone());
   mClock.Advance(1s);
-  OfferTo(60, 0, 20);
+  Offer(60, 0, 20);
   CHECK_EQUAL(21, mOut.mToHost.size());
 }
 
-TEST(HostFlowsDrain, AWarmHostHasNoSuchBound)
+TEST(HostFlowsDrain, WarmHostIsNotLimitedByTheColdRate)
 {
   mClock.Advance(2s);
-  BeatCold(0s);
+  AnnounceCold(0s);
   for (std::uint16_t i = 0; i < 50; ++i) {
-    OfferTo(i, 0, 20);
+    Offer(i, 0, 20);
   }
   CHECK_EQUAL(50, mOut.mToHost.size());
 }
 
-// Guards against hosts that turned cold during the drain and say so only with
-// their next announcement.
-TEST(HostFlowsDrain, TakenBackItCountsAsColdUntilItWasHeardAgain)
+// Guards against overload of hosts that turned cold during a drain and report
+// it only with their next announcement.
+TEST(HostFlowsDrain, AfterADrainHostCountsAsColdUntilItsNextAnnouncement)
 {
   mClock.Advance(2s);
-  BeatCold(0s);
+  AnnounceCold(0s);
   Notice();
   mClock.Advance(1s);
   for (std::uint16_t i = 0; i < 50; ++i) {
-    OfferTo(i, kVersion + 1, 20);
+    Offer(i, kVersion + 1, 20);
   }
   CHECK_EQUAL(20, mOut.mToHost.size());
-  BeatCold(0s);
-  OfferTo(60, kVersion + 1, 20);
+  AnnounceCold(0s);
+  Offer(60, kVersion + 1, 20);
   CHECK_EQUAL(21, mOut.mToHost.size());
 }
--- a/tests/HostFlowsFixture.h
+++ b/tests/HostFlowsFixture.h
@@ -17,7 +17,7 @@
 inline constexpr std::uint8_t kSyn = 64;
 inline constexpr std::uint8_t kAck = 4;
 inline constexpr std::uint8_t kFin = 16;
-inline constexpr std::uint8_t kBounced = 32;
+inline constexpr std::uint8_t kReturned = 32;
 
 inline const Address kBalancer = *ParseAddress("10.0.2.1:7000");
 inline const Address kOtherBalancer = *ParseAddress("10.0.2.2:7000");
@@ -25,7 +25,7 @@
 inline const FlowKey kFlow{ *ParseAddress("100.64.0.7:40001"),
                             *ParseAddress("198.18.0.1:443") };
 
-/** Plays the balancers, other agents and the host of one HostFlows. */
+/** Simulates the balancers, other agents and the host of one HostFlows. */
 struct HostFlowsFixture : public Utest
 {
   struct Output final : HostFlowsOutput
@@ -63,7 +63,7 @@
   PlatformPackets mPackets;
   Output mOut;
   std::unique_ptr<HostFlows> mFlows;
-  std::uint64_t mBeats = 0;
+  std::uint64_t mAnnouncements = 0;
 
   void setup() override { Restart(); }
 
@@ -77,15 +77,15 @@
     mFlows = std::make_unique<HostFlows>(options, mPackets, mOut, mClock.Now());
   }
 
-  void Beat(HostPhase aPhase = HostPhase::Ready)
+  void Announce(HostPhase aPhase = HostPhase::Ready)
   {
-    HostAnnouncement beat;
-    beat.mId = "i";
-    beat.mStartedAt = 1;
-    beat.mSequence = ++mBeats;
-    beat.mPhase = aPhase;
-    beat.mSlots = 2;
-    mFlows->OnAnnouncement(beat, mClock.Now());
+    HostAnnouncement announcement;
+    announcement.mId = "i";
+    announcement.mStartedAt = 1;
+    announcement.mSequence = ++mAnnouncements;
+    announcement.mPhase = aPhase;
+    announcement.mSlots = 2;
+    mFlows->OnAnnouncement(announcement, mClock.Now());
   }
 
   Bytes Packet(std::uint8_t aFlags, std::uint32_t aSequence,
@@ -118,7 +118,7 @@
     mFlows->OnSteered(steered, mClock.Now());
   }
 
-  /** Opens the flow at the host with its sequence 500. */
+  /** Opens the flow at the host, whose initial sequence number is 500. */
   void Open()
   {
     Steer(SteerPurpose::Place, Packet(kSyn, 1, 0));
@@ -126,11 +126,11 @@
     Steer(SteerPurpose::Deliver, Packet(kAck, 2, 501, false, 10));
   }
 
-  /** The last packet to the host, returned by it. */
-  void Bounce()
+  /** The host returns the last packet that was delivered to it. */
+  void ReturnLastPacket()
   {
     Bytes packet = mOut.mToHost.back();
-    packet[20] |= kBounced;
+    packet[20] |= kReturned;
     mFlows->OnHostPacket(packet, mClock.Now());
   }
 };
--- a/tests/HostFlowsTest.cpp
+++ b/tests/HostFlowsTest.cpp
@@ -4,9 +4,9 @@
 
 TEST_GROUP_BASE(HostFlows, HostFlowsFixture){};
 
-TEST(HostFlows, PlacesAFlowAndTellsTheBalancerOnceTheHostAnswered)
+TEST(HostFlows, ReportsAPlacedFlowOnceTheHostReplied)
 {
-  Beat();
+  Announce();
   Steer(SteerPurpose::Place, Packet(kSyn, 1, 0));
   CHECK_EQUAL(1, mOut.mToHost.size());
   CHECK_EQUAL(0, mOut.mReports.size());
@@ -17,9 +17,9 @@
   CHECK(mOut.mReports[0].second.mOutcome == PlacementOutcome::Placed);
 }
 
-TEST(HostFlows, CountsARequestUntilItIsAnswered)
+TEST(HostFlows, RequestIsInProgressUntilAnswered)
 {
-  Beat();
+  Announce();
   Open();
   CHECK_EQUAL(1, mFlows->Condition(mClock.Now()).mInProgress);
   mClock.Advance(15ms);
@@ -29,9 +29,9 @@
   CHECK(mOut.mTimes.back().second == 15ms);
 }
 
-TEST(HostFlows, PassesOnWithItsWaitWhenTheSlotsAreTaken)
+TEST(HostFlows, ForwardsAFlowWithItsOwnWaitWhenSlotsAreFull)
 {
-  Beat();
+  Announce();
   for (std::uint16_t port : { 1, 2 }) {
     Bytes syn = Packet(kSyn, 1, 0);
     syn[1] = static_cast<std::uint8_t>(port);
@@ -44,10 +44,10 @@
   CHECK(mOut.mSteered[0].second.mBestWait > 0ms);
 }
 
-// An agent restarts beside a host that had said that it leaves, and was
-// acknowledged by the agent's earlier life. Until the host was heard again it
-// gets nothing new.
-TEST(HostFlows, AfterARestartNothingNewBeforeTheHostWasHeard)
+// An agent restarts after its host announced that it is draining and the
+// earlier agent process acknowledged. The new process doesn't know the host's
+// phase, so it admits no new flow before the next announcement.
+TEST(HostFlows, AfterAgentRestartNoNewFlowBeforeAnAnnouncement)
 {
   Steer(SteerPurpose::Place, Packet(kSyn, 1, 0), true);
   CHECK_EQUAL(0, mOut.mToHost.size());
@@ -57,34 +57,34 @@
   CHECK(mOut.mReports[0].second.mOutcome == PlacementOutcome::Refused);
 }
 
-// A host leaves while the copy of an opening packet that it never answered is
-// on its way. For the host the copy would open a new flow.
-TEST(HostFlows, ALeavingHostGetsNoCopyOfAnUnansweredOpening)
+// A host starts draining while the repeat of an opening packet that it never
+// replied to is in flight. The repeat would open a new flow at the host.
+TEST(HostFlows, DrainingHostGetsNoRepeatOfAnUnansweredOpening)
 {
-  Beat();
+  Announce();
   Steer(SteerPurpose::Place, Packet(kSyn, 1, 0));
-  Beat(HostPhase::Draining);
+  Announce(HostPhase::Draining);
   Steer(SteerPurpose::Place, Packet(kSyn, 1, 1), true);
   CHECK_EQUAL(1, mOut.mToHost.size());
   CHECK_EQUAL(1, mOut.mSteered.size());
 }
 
-TEST(HostFlows, ALeavingHostKeepsItsFlows)
+TEST(HostFlows, DrainingHostKeepsItsFlows)
 {
-  Beat();
+  Announce();
   Open();
-  Beat(HostPhase::Draining);
+  Announce(HostPhase::Draining);
   Steer(SteerPurpose::Deliver, Packet(kAck, 12, 501, false, 10));
   CHECK_EQUAL(3, mOut.mToHost.size());
   Steer(SteerPurpose::Place, Packet(kSyn, 1, 1));
   CHECK_EQUAL(4, mOut.mToHost.size());
 }
 
-// Two hosts answered copies of one opening packet, and the caller took the
-// other one's answer. What it sends is not for this host.
-TEST(HostFlows, AFlowThatTheCallerOpenedElsewhereIsPassedOn)
+// Two hosts replied to copies of one opening packet, and the caller accepted
+// the other host's reply. The caller's packets must not reach this host.
+TEST(HostFlows, FlowOpenedAtAnotherHostIsForwarded)
 {
-  Beat();
+  Announce();
   Steer(SteerPurpose::Place, Packet(kSyn, 1, 0));
   mFlows->OnHostPacket(Packet(kSyn | kAck, 500, 2, true), mClock.Now());
   Steer(SteerPurpose::Search, Packet(kAck, 2, 900501, false, 10), true);
@@ -93,40 +93,42 @@
   CHECK_EQUAL(0, mFlows->Size());
 }
 
-// An agent restarted beside a living host that holds flows. It knows none of
-// them; a packet may reach the host to ask, and goes on if it comes back.
-TEST(HostFlows, AfterARestartTheHostIsAskedAboutUnknownFlows)
+// An agent restarts while its host is running and holds flows. The agent knows
+// none of them, so it probes the host with a packet and forwards the packet if
+// the host returns it.
+TEST(HostFlows, AfterAgentRestartUnknownFlowsAreProbed)
 {
-  mBeats = 6;
-  Beat();
+  mAnnouncements = 6;
+  Announce();
   Steer(SteerPurpose::Search, Packet(kAck, 2, 501, false, 10), true);
   CHECK_EQUAL(1, mOut.mToHost.size());
   CHECK_TRUE(mPackets.Parse(mOut.mToHost[0])->mTag != 0);
-  Bounce();
+  ReturnLastPacket();
   CHECK_EQUAL(1, mOut.mSteered.size());
   CHECK_TRUE(mOut.mSteered[0].second.mPacket ==
              Packet(kAck, 2, 501, false, 10));
-  // Flows from before the restart are over by then.
+  // Flows from before the restart have ended by then.
   mClock.Advance(61s);
   Steer(SteerPurpose::Search, Packet(kAck, 2, 501, false, 10), true);
   CHECK_EQUAL(1, mOut.mToHost.size());
 }
 
-// The agent of a flow's host restarts, and the caller repeats a packet until it
-// is back. Each repeat is searched for; another host must not get them all.
-TEST(HostFlows, AHostIsAskedAboutAFlowOnce)
+// The agent of a flow's host restarts, and the caller retransmits a packet
+// until the agent is back. Each retransmission starts a search; another host
+// must not be probed with every one of them.
+TEST(HostFlows, HostIsProbedOncePerFlow)
 {
-  mBeats = 6;
-  Beat();
+  mAnnouncements = 6;
+  Announce();
   Steer(SteerPurpose::Search, Packet(kAck, 2, 501, false, 10), true);
-  Bounce();
+  ReturnLastPacket();
   for (int i = 0; i < 3; ++i) {
     mClock.Advance(400ms);
     Steer(SteerPurpose::Search, Packet(kAck, 2, 501, false, 10), true);
   }
   CHECK_EQUAL(1, mOut.mToHost.size());
   CHECK_EQUAL(4, mOut.mSteered.size());
-  // An opening packet of the same key is a new flow.
+  // An opening packet with the same key opens a new flow.
   Steer(SteerPurpose::Place, Packet(kSyn, 1, 0));
   CHECK_EQUAL(2, mOut.mToHost.size());
   mFlows->OnHostPacket(Packet(kSyn | kAck, 500, 2, true), mClock.Now());
@@ -134,40 +136,40 @@
   CHECK_EQUAL(3, mOut.mToHost.size());
 }
 
-TEST(HostFlows, AHostKnownFromItsStartIsNotAsked)
+TEST(HostFlows, HostObservedFromItsStartIsNotProbed)
 {
-  Beat();
+  Announce();
   Steer(SteerPurpose::Search, Packet(kAck, 2, 501, false, 10), true);
   CHECK_EQUAL(0, mOut.mToHost.size());
   CHECK_EQUAL(1, mOut.mSteered.size());
 }
 
-TEST(HostFlows, AWrongHintGoesBackToTheBalancer)
+TEST(HostFlows, PacketWithAWrongHintReturnsToTheBalancer)
 {
-  Beat();
+  Announce();
   Steer(SteerPurpose::Deliver, Packet(kAck, 2, 501, false, 10));
   CHECK_TRUE(mOut.mSteered[0].first == kBalancer);
   CHECK(mOut.mSteered[0].second.mPurpose == SteerPurpose::NotHere);
 }
 
-// The search found no host. The flow's host may live behind a cut: a reset
-// would break a flow that silence leaves whole.
-TEST(HostFlows, ASearchEndsInSilence)
+// A search found no host. The flow's host may be alive behind a network
+// partition, and a reset would break a flow that can still continue.
+TEST(HostFlows, UnsuccessfulSearchSendsNoReset)
 {
-  Beat();
+  Announce();
   Steer(SteerPurpose::Search, Packet(kAck, 2, 501, false, 10));
   CHECK_EQUAL(0, mOut.mToCaller.size());
   CHECK_EQUAL(0, mOut.mSteered.size());
   CHECK_EQUAL(1, mFlows->Count(HostFlowEvent::SearchEnded));
 }
 
-// A host crashed and started anew under the eyes of its agent. A caller that
-// still writes to the lost flow would wait out its deadline.
-TEST(HostFlows, AFlowThatItsHostLostIsResetAtOnce)
+// A host crashes and restarts while its agent runs. Without a reset, a caller
+// that still writes to the lost flow would wait until its deadline.
+TEST(HostFlows, FlowLostByItsHostIsResetAtOnce)
 {
-  Beat();
+  Announce();
   Open();
-  Bounce();
+  ReturnLastPacket();
   CHECK_EQUAL(2, mOut.mToCaller.size());
   auto reset = mPackets.Parse(mOut.mToCaller[1]);
   CHECK_TRUE(reset->mReset);
@@ -175,21 +177,21 @@
   CHECK_EQUAL(0, mFlows->Size());
 }
 
-TEST(HostFlows, AHostThatIsFullIsPassedBy)
+TEST(HostFlows, FlowReturnedByAFullHostIsForwarded)
 {
-  Beat();
+  Announce();
   Steer(SteerPurpose::Place, Packet(kSyn, 1, 0), true);
-  Bounce();
+  ReturnLastPacket();
   CHECK_EQUAL(1, mOut.mSteered.size());
   CHECK_TRUE(mOut.mSteered[0].second.mPacket == Packet(kSyn, 1, 0));
   CHECK_EQUAL(0, mFlows->Condition(mClock.Now()).mInProgress);
 }
 
-// A host's address went to another service; a balancer still has the old member
-// and sends it a flow of the old service.
-TEST(HostFlows, NothingForAnotherServiceReachesTheHost)
+// A host's address was reassigned to another service while a balancer still has
+// the old member and sends a flow of the old service.
+TEST(HostFlows, PacketsOfAnotherServiceAreRejected)
 {
-  Beat();
+  Announce();
   for (auto purpose :
        { SteerPurpose::Place, SteerPurpose::Deliver, SteerPurpose::Search }) {
     Steer(purpose, Packet(kSyn, 1, 0), true, kBalancer, "other");
@@ -198,22 +200,23 @@
   CHECK_EQUAL(3, mFlows->Count(HostFlowEvent::RefusedOtherService));
 }
 
-// All balancers were replaced; the next packet comes by one that was never
-// told where the flow is.
-TEST(HostFlows, ANewBalancerIsTold)
+// All balancers were replaced; the next packet arrives through a balancer that
+// received no report of the flow's host.
+TEST(HostFlows, NewBalancerReceivesAReport)
 {
-  Beat();
+  Announce();
   Open();
   Steer(SteerPurpose::Search, Packet(kAck, 12, 501), false, kOtherBalancer);
   CHECK_EQUAL(2, mOut.mReports.size());
   CHECK_TRUE(mOut.mReports[1].first == kOtherBalancer);
 }
 
-// A host goes dark while its agent lives. One flow finds out; the ones behind
-// it go to other hosts, and one in a while tries again.
-TEST(HostFlows, AHostThatAnswersNothingIsPassedBy)
+// A host crashes while its agent runs. The first flow gets no reply; later
+// flows are forwarded to other hosts, and one flow per interval is offered
+// again.
+TEST(HostFlows, FlowsBypassAHostThatDoesNotReply)
 {
-  Beat();
+  Announce();
   Steer(SteerPurpose::Place, Packet(kSyn, 1, 0), true);
   mClock.Advance(130ms);
   mFlows->OnTick(mClock.Now());
@@ -226,12 +229,13 @@
   CHECK_EQUAL(2, mOut.mToHost.size());
 }
 
-// A surge: callers whose copies went to several hosts open the flow at one. The
-// flows that never open must not fill the slots of an idle host, or its
-// refusals bring more copies and the surge feeds itself.
-TEST(HostFlows, FlowsThatNeverOpenFreeTheirSlotsSoon)
+// During a surge, copies of an opening packet reach several hosts, and the
+// caller opens the flow at one. The flows that never open must not fill the
+// slots of idle hosts: the refusals cause retransmissions that prolong the
+// surge.
+TEST(HostFlows, FlowsThatNeverOpenReleaseTheirSlots)
 {
-  Beat();
+  Announce();
   for (std::uint16_t i = 0; i < 2; ++i) {
     Bytes syn = Packet(kSyn, 1, 0);
     syn[1] = static_cast<std::uint8_t>(i);
@@ -246,9 +250,9 @@
   CHECK_EQUAL(0, mFlows->Condition(mClock.Now()).mInProgress);
 }
 
-TEST(HostFlows, IsBoundedAndForgetsWhatIsOld)
+TEST(HostFlows, TableIsBoundedAndIdleFlowsAreRemoved)
 {
-  Beat();
+  Announce();
   for (std::uint16_t i = 0; i < 200; ++i) {
     Bytes answer = Packet(kAck | kFin, 501, 12, true);
     answer[7] = static_cast<std::uint8_t>(i);
@@ -260,13 +264,13 @@
   CHECK_EQUAL(0, mFlows->Size());
 }
 
-// An upload's packets overtake one another, so the host repeats an
-// acknowledgement and the caller sends a packet again. The copy comes after the
-// host's answer. Counted as one more request, it held a slot of an idle host
-// for seconds, and uploads were refused beside free slots.
-TEST(HostFlows, ACopyOfDataAfterTheAnswerIsNoRequest)
+// Packets of an upload are reordered, so the host repeats an acknowledgement
+// and the caller retransmits a packet, which arrives after the host's answer.
+// Counted as another request, it held a slot of an idle host for seconds, and
+// uploads were refused while slots were free.
+TEST(HostFlows, DataRetransmittedAfterTheAnswerIsNoRequest)
 {
-  Beat();
+  Announce();
   Open();
   CHECK_EQUAL(1, mFlows->Condition(mClock.Now()).mInProgress);
   mFlows->OnHostPacket(Packet(kAck, 501, 12, true, 5), mClock.Now());
@@ -275,11 +279,11 @@
   CHECK_EQUAL(0, mFlows->Condition(mClock.Now()).mInProgress);
 }
 
-// A flow that is kept open carries a second request after the first answer. It
-// is work again; a copy of the first request that comes late is not.
-TEST(HostFlows, EachRequestOfAKeptOpenFlowIsWorkOnce)
+// A persistent flow carries a second request after the first answer. The second
+// request counts as in progress; a late copy of the first one does not.
+TEST(HostFlows, EachRequestOfAPersistentFlowCountsOnce)
 {
-  Beat();
+  Announce();
   Open();
   mFlows->OnHostPacket(Packet(kAck, 501, 12, true, 5), mClock.Now());
   Steer(SteerPurpose::Deliver, Packet(kAck, 12, 506, false, 10));
@@ -290,22 +294,22 @@
   CHECK_EQUAL(0, mFlows->Condition(mClock.Now()).mInProgress);
 }
 
-// The host answers before it has the whole upload, and closes. What the caller
-// still sends is no work, new bytes or not.
-TEST(HostFlows, DataAfterTheHostsEndIsNoRequest)
+// The host answers and closes before it received the whole upload. Data that
+// the caller still sends begins no request, even if its bytes are new.
+TEST(HostFlows, DataAfterTheHostClosedIsNoRequest)
 {
-  Beat();
+  Announce();
   Open();
   mFlows->OnHostPacket(Packet(kAck | kFin, 501, 12, true, 5), mClock.Now());
   Steer(SteerPurpose::Deliver, Packet(kAck, 12, 507, false, 10));
   CHECK_EQUAL(0, mFlows->Condition(mClock.Now()).mInProgress);
 }
 
-// A caller uses its port again for a new flow while the old one is remembered
-// as ended. The request of the new one is work.
-TEST(HostFlows, APortUsedAgainBeginsANewFlow)
+// A caller reuses its port for a new flow while the table still has the old
+// flow as finished. The request of the new flow counts as in progress.
+TEST(HostFlows, ReusedPortBeginsANewFlow)
 {
-  Beat();
+  Announce();
   Open();
   mFlows->OnHostPacket(Packet(kAck | kFin, 501, 12, true, 5), mClock.Now());
   Steer(SteerPurpose::Place, Packet(kSyn, 7001, 0));
@@ -316,25 +320,26 @@
   CHECK_EQUAL(1, mFlows->Condition(mClock.Now()).mInProgress);
 }
 
-// A balancer restarts at its old address while a flow is open, and searches for
-// it. The agent had told its former life where the flow is; untold, the new one
-// searches for every packet, and drops those that wait for the answer.
-TEST(HostFlows, WhoSearchesIsToldAgain)
+// A balancer restarts at the same address and searches for an open flow. The
+// agent sent its report to the earlier balancer process; without a new report,
+// the restarted balancer searches for every packet and drops the packets that
+// wait for the result.
+TEST(HostFlows, SearchingBalancerReceivesAnotherReport)
 {
-  Beat();
+  Announce();
   Open();
-  std::size_t told = mOut.mReports.size();
+  std::size_t reports = mOut.mReports.size();
   Steer(SteerPurpose::Search, Packet(kAck, 12, 501, false, 10));
-  CHECK_EQUAL(told + 1, mOut.mReports.size());
+  CHECK_EQUAL(reports + 1, mOut.mReports.size());
   Steer(SteerPurpose::Deliver, Packet(kAck, 22, 501, false, 10));
-  CHECK_EQUAL(told + 1, mOut.mReports.size());
+  CHECK_EQUAL(reports + 1, mOut.mReports.size());
 }
 
-// A search is begun here by a balancer. The flow is elsewhere, so the other
-// hosts are asked side by side; where the flow is here, nobody else is asked.
-TEST(HostFlows, SharesASearchOutUnlessItHoldsTheFlow)
+// A balancer asks this agent to fan out a search. If the flow isn't here, the
+// candidates are searched in parallel; if it is here, no candidate is.
+TEST(HostFlows, FansOutASearchUnlessItHoldsTheFlow)
 {
-  Beat();
+  Announce();
   SteeredPacket steered;
   steered.mService = MakeServiceId("s");
   steered.mPurpose = SteerPurpose::FanOut;
@@ -346,24 +351,24 @@
   steered.mPacket = Packet(kAck, 2, 501, false, 10);
   mFlows->OnSteered(steered, mClock.Now());
   CHECK_EQUAL(4, mOut.mSteered.size());
-  std::size_t asked = 0;
-  for (const auto& [to, walk] : mOut.mSteered) {
-    CHECK(walk.mPurpose == SteerPurpose::Search);
-    asked += 1 + walk.mCandidates.size();
+  std::size_t searched = 0;
+  for (const auto& [to, search] : mOut.mSteered) {
+    CHECK(search.mPurpose == SteerPurpose::Search);
+    searched += 1 + search.mCandidates.size();
   }
-  CHECK_EQUAL(10, asked);
+  CHECK_EQUAL(10, searched);
   mOut.mSteered.clear();
   Open();
   mFlows->OnSteered(steered, mClock.Now());
   CHECK_TRUE(mOut.mSteered.empty());
 }
 
-// A host answers the first copy of an opening packet, crashes, starts anew and
-// says that it leaves. The caller heard nothing and sends a second copy; it
-// must not open a flow at a host that leaves.
-TEST(HostFlows, ALeavingHostGetsNoCopyThatItsFormerLifeAnswered)
+// A host replies to an opening packet, crashes, restarts and announces that it
+// is draining. The caller got no reply and repeats the packet, which must not
+// open a flow at the draining host.
+TEST(HostFlows, DrainingHostGetsNoRepeatAnsweredByItsEarlierIncarnation)
 {
-  Beat();
+  Announce();
   Steer(SteerPurpose::Place, Packet(kSyn, 1, 0));
   mFlows->OnHostPacket(Packet(kSyn | kAck, 500, 2, true), mClock.Now());
   HostAnnouncement next;
--- a/tests/ServiceTimeTest.cpp
+++ b/tests/ServiceTimeTest.cpp
@@ -15,9 +15,9 @@
   }
 };
 
-// Load: everything has come back, and the first flows are placed before any
-// host has answered one.
-TEST(ServiceTime, TheFirstGuessFollowsTheTargetUntilAnAnswerCame)
+// Load: all callers return after an outage, and the first flows are placed
+// before any host has answered.
+TEST(ServiceTime, InitialEstimateFollowsTheTargetUntilTheFirstAnswer)
 {
   CHECK(mTime.Get() == 15ms);
   mTime.Expect(200ms, true);
@@ -32,9 +32,9 @@
   CHECK(mTime.Get() == 30ms);
 }
 
-// Guards against answers to flows from before a restart that hold the estimate
-// at nothing for good.
-TEST(ServiceTime, AnswersThatNobodyExpectedSayNothing)
+// Guards against answers on flows from before an agent restart that keep the
+// estimate at zero permanently.
+TEST(ServiceTime, AnswersBeforeTheFirstExpectAreIgnored)
 {
   ServiceTime time;
   time.Learn(30ms, 0, 2);
@@ -42,7 +42,7 @@
   CHECK(time.Get() == 45ms);
 }
 
-TEST(ServiceTime, FollowsAHostThatBecameSlow)
+TEST(ServiceTime, FollowsAHostThatBecomesSlow)
 {
   for (int i = 0; i < 100; ++i) {
     mTime.Learn(60ms, 0, 2);
@@ -50,9 +50,10 @@
   CHECK_TRUE(mTime.Get() > 55ms && mTime.Get() <= 60ms);
 }
 
-// A surge fills the host's queue: seven wait ahead of each request, and answers
-// take 60 ms though the work is 15. The estimate must not follow the queue.
-TEST(ServiceTime, IsNotInflatedByAQueue)
+// A surge fills the host's queue: seven requests precede each one, and answers
+// take 60 ms although processing takes 15 ms. The estimate must not include the
+// wait in the queue.
+TEST(ServiceTime, ExcludesTheWaitInTheQueue)
 {
   for (int i = 0; i < 200; ++i) {
     mTime.Learn(60ms, 7, 2);
@@ -60,7 +61,7 @@
   CHECK_TRUE(mTime.Get() <= 16ms);
 }
 
-TEST(ServiceTime, OneStandstillDoesNotMakeAHostSlow)
+TEST(ServiceTime, OneStallDoesNotInflateTheEstimate)
 {
   mTime.Learn(3s, 0, 2);
   CHECK_TRUE(mTime.Get() < 18ms);
--- a/tests/WorkInProgressTest.cpp
+++ b/tests/WorkInProgressTest.cpp
@@ -35,9 +35,9 @@
   CHECK_EQUAL(1, mWork.Size());
 }
 
-// A caller gives up before its flow opens, and nothing ever says so. The slot
-// that was counted for it must come free by itself.
-TEST(WorkInProgress, ForgetsWhatNeverEnds)
+// A caller gives up before its flow opens and sends nothing more. The entry
+// must expire to release the slot.
+TEST(WorkInProgress, EntryWithoutAnEndExpires)
 {
   mWork.Begin(Flow(1), mClock.Now(), mClock.Now() + 300ms);
   mClock.Advance(299ms);
@@ -48,7 +48,7 @@
   CHECK_EQUAL(0, mWork.Size());
 }
 
-TEST(WorkInProgress, DropsWhatAnEarlierLifeOfTheHostBegan)
+TEST(WorkInProgress, DropsEntriesOfAnEarlierHostIncarnation)
 {
   mWork.Begin(Flow(1), mClock.Now(), mClock.Now() + 8s);
   mClock.Advance(2s);
