--- a/src/passthrough/FlowAdmission.h
+++ b/src/passthrough/FlowAdmission.h
@@ -34,9 +34,8 @@
   Duration mBestWait{};
   /** All other candidates were tried; the flow can't be forwarded. */
   bool mMustTake = false;
-  /** The opening packet is a retransmission, and the caller will retransmit it
-   * again: the flow is late already, and is not lost if this packet is dropped.
-   */
+  /** The opening packet is a retransmission, and the caller will send another:
+   * the flow is late already, and dropping this packet doesn't lose it. */
   bool mReturnsLater = false;
 };
 
@@ -81,10 +80,8 @@
   {
     /** Share of the latency target that ordinary flows may spend queueing. The
      * rest is for processing and two network handshakes. At 1.4 times the
-     * slots' capacity, 0.4 answers 98 % of important flows and 63 % of the
-     * others in time; with 0.6 both kinds share the queue, and 66 % of each are
-     * in time.
-     */
+     * slots' capacity, 0.4 answers 98 % of important flows and 63 % of others
+     * in time; 0.6, where both kinds share the queue, 66 % of each. */
     double mWaitShare = 0.4;
     /** The same share for flows of High importance and above. They may queue
      * where others are refused, so in saturation they get the slots first. */
@@ -93,12 +90,11 @@
      * reject the excess, which wastes the work of opening the flow. */
     double mMaxWaitingPerSlot = 3.5;
     /** Queue places per slot reserved for flows of High importance and above.
-     * With long targets, such as 200 ms, the queue is full before the target's
-     * share is reached, and important flows would be refused like the others:
-     * at 1.3 times the slots' capacity 79 % of both kinds were in time; with
-     * two places reserved, 100 % of important flows and 71 % of the others. One
-     * place suffices under a steady load; the second is for bursts of important
-     * flows. */
+     * With long targets, such as 200 ms, the queue fills before the target's
+     * share is reached, and important flows would be refused like others:
+     * at 1.3 times the slots' capacity 79 % of each were in time, with two
+     * places reserved per host 100 % and 71 %. One place suffices under a
+     * steady load; the second is for bursts of important flows. */
     double mReservedPerSlot = 1;
   };
 
--- a/src/passthrough/FlowAgent.cpp
+++ b/src/passthrough/FlowAgent.cpp
@@ -22,10 +22,8 @@
 constexpr auto kMetricsInterval = std::chrono::seconds(1);
 /** Missed announcements after which a host counts as unresponsive. */
 constexpr int kMaxMissedAnnouncements = 3;
-/** An agent whose heartbeats no balancer has confirmed for this long reads the
- * directory. Balancers reply within milliseconds, and one heartbeat may be
- * lost.
- */
+/** An agent reads the directory if no balancer confirmed a heartbeat for this
+ * long. Balancers reply within milliseconds, and one heartbeat may be lost. */
 constexpr auto kUnconfirmedTimeout = std::chrono::milliseconds(2000);
 /** The same for an agent that no balancer has confirmed yet: after a power loss
  * the seeds may start last while other balancers wait for hosts. */
--- a/src/passthrough/HostFlows.h
+++ b/src/passthrough/HostFlows.h
@@ -30,8 +30,7 @@
   Answer,
 };
 
-/** Sends the packets and reports that HostFlows decides on. HostFlows holds no
- * lock while it calls this interface. */
+/** Carries out the decisions of HostFlows. Called with no lock held. */
 class HostFlowsOutput
 {
 public:
@@ -40,8 +39,7 @@
   virtual void ToHost(ByteView aPacket) = 0;
   /** aCaller: the caller's address of the flow. */
   virtual void ToCaller(const Address& aCaller, ByteView aPacket) = 0;
-  /** Sends to another agent or, with SteerPurpose::NotHere, back to the
-   * balancer. */
+  /** Sends to another agent or, with purpose NotHere, back to a balancer. */
   virtual void Steer(const Address& aTo, const SteeredPacket& aPacket) = 0;
   virtual void Report(const Address& aBalancer,
                       const PlacementReport& aReport) = 0;
@@ -61,8 +59,7 @@
   Delivered,
   /** A search was forwarded to the next candidate. */
   Searched,
-  /** A packet of an unknown flow went to the host to find out whether the host
-   * holds the flow. */
+  /** A packet of an unknown flow was delivered to the host as a probe. */
   Probed,
   /** The host returned a packet. */
   Bounced,
@@ -115,9 +112,9 @@
     ServiceId mService;
     /** Capacity of the flow table. */
     std::size_t mMaxFlows = 16384;
-    /** Idle flows are removed after this duration. During the same duration
-     * after the agent's start, the host may hold flows that the agent does not
-     * know. */
+    /** Idle flows are removed after this duration. Until it has passed since
+     * the agent's start, the host may hold flows that the agent doesn't know.
+     */
     Duration mFlowRetention = std::chrono::seconds(60);
     /** A host without an announcement for this long counts as unresponsive. */
     Duration mSilentAfter = std::chrono::milliseconds(3600);
@@ -149,8 +146,7 @@
 
   const HostStatus& Host() const { return mHostStatus; }
   HostCondition Condition(Time aNow) const;
-  /** Whether the operator drains the data centre; if so, the host is given no
-   * new flows. */
+  /** Whether the data centre is drained: the host is given no new flows. */
   bool IsDrained(Time aNow) const { return mDrain.IsDrained(aNow); }
   std::size_t Size() const { return mFlows.Size(); }
   std::uint64_t Count(HostFlowEvent aEvent) const
@@ -201,8 +197,7 @@
     Address mNotifiedBalancer;
   };
   using Table = BoundedTable<Flow>;
-  /** A packet delivered to the host, and how to forward it if the host returns
-   * it. */
+  /** How to forward a packet if the host returns it. */
   struct Pending
   {
     std::uint32_t mTag = 0;
@@ -214,8 +209,7 @@
   static constexpr std::size_t kMaxPending = 256;
 
   void Place(SteeredPacket& aSteered, const FlowPacket& aPacket, Time aNow);
-  /** The condition for one flow: a cold host that has used up the flow's cold
-   * rate takes no new flows. */
+  /** Like Condition; a cold host above the flow's cold rate takes no flows. */
   HostCondition ConditionFor(const SteeredPacket& aSteered, Time aNow) const;
   bool MayBeCold(Time aNow) const;
   void HandleRepeatedOpening(SteeredPacket& aSteered, const FlowPacket& aPacket,
@@ -224,8 +218,7 @@
   void ForwardPlacement(SteeredPacket& aSteered, const FlowKey& aFlow,
                         Time aNow);
   void Refuse(const SteeredPacket& aSteered, const FlowKey& aFlow, Time aNow);
-  /** Age of the host's last announcement in ms, for logs; -1 if there is none.
-   */
+  /** Age of the host's last announcement in ms; -1 if there is none. */
   std::int64_t MsSinceAnnouncement(Time aNow) const;
   void DeliverOrForward(SteeredPacket& aSteered, const FlowPacket& aPacket,
                         Time aNow);
--- a/src/passthrough/HostStatus.h
+++ b/src/passthrough/HostStatus.h
@@ -44,8 +44,8 @@
    * draining. */
   bool TakesNewFlows(Time aNow) const;
 
-  /** Whether this agent received the first announcement of the host's current
-   * incarnation, and has therefore seen all its flows. */
+  /** Whether this agent observed the start of the host's current incarnation,
+   * and has therefore seen all its flows. */
   bool IsObservedFromStart() const { return mObservedFromStart; }
 
   HostPhase Phase() const { return mPhase; }
@@ -65,8 +65,7 @@
   bool mObservedFromStart = false;
   std::string mId;
   std::optional<std::int64_t> mStartedAt;
-  /** Ids of earlier incarnations; orders announcements that have no start time.
-   */
+  /** Ids of earlier incarnations, to detect late ones without a start time. */
   std::set<std::string> mEarlierIds;
   std::uint64_t mSequence = 0;
   HostPhase mPhase = HostPhase::Ready;
--- a/src/passthrough/PacketFormat.h
+++ b/src/passthrough/PacketFormat.h
@@ -21,8 +21,7 @@
   /** The host returned the packet: it does not hold the flow or could not
    * accept the packet. */
   bool mBounced = false;
-  /** Written by PacketFormat::Tag; preserved in a packet that the host returns.
-   */
+  /** Written by PacketFormat::Tag; a packet that the host returns keeps it. */
   std::uint32_t mTag = 0;
   std::uint32_t mSequence = 0;
   std::uint32_t mAcknowledged = 0;
@@ -38,9 +37,7 @@
   FlowKey FlowFromHost() const { return { mDestination, mSource }; }
 };
 
-/** Parses and writes packets of opaque flows in their network format.
- * Stateless, thread safe.
- */
+/** Network format of packets of opaque flows. Stateless, thread safe. */
 class PacketFormat
 {
 public:
@@ -55,10 +52,8 @@
   virtual void Tag(std::span<std::uint8_t> aPacket,
                    std::uint32_t aTag) const = 0;
 
-  /** Makes a reset from the load balancer to the flow's caller. aSequence is
-   * the sequence number that the caller expects; any value before the flow is
-   * open.
-   */
+  /** Makes a reset from the load balancer to the flow's caller. aSequence: the
+   * sequence number that the caller expects; any before the flow is open. */
   virtual Bytes MakeReset(const FlowKey& aFlow,
                           std::uint32_t aSequence) const = 0;
 };
--- a/tests/HostFlowsTest.cpp
+++ b/tests/HostFlowsTest.cpp
@@ -211,9 +211,8 @@
   CHECK_TRUE(mOut.mReports[1].first == kOtherBalancer);
 }
 
-// A host crashes while its agent runs. The first flow gets no reply; later
-// flows are forwarded to other hosts, and one flow per interval is offered
-// again.
+// A host is unresponsive while its agent runs. The first flow gets no reply;
+// later ones are forwarded, and the host is offered one flow per interval.
 TEST(HostFlows, FlowsBypassAHostThatDoesNotReply)
 {
   Announce();
@@ -230,9 +229,8 @@
 }
 
 // During a surge, copies of an opening packet reach several hosts, and the
-// caller opens the flow at one. The flows that never open must not fill the
-// slots of idle hosts: the refusals cause retransmissions that prolong the
-// surge.
+// caller opens the flow at one. If the flows that never open fill the slots of
+// idle hosts, the refusals cause more copies and prolong the surge.
 TEST(HostFlows, FlowsThatNeverOpenReleaseTheirSlots)
 {
   Announce();
--- a/tests/HostStatusTest.cpp
+++ b/tests/HostStatusTest.cpp
@@ -109,7 +109,7 @@
   CHECK_FALSE(mStatus.TakesNewFlows(mClock.Now()));
 }
 
-TEST(HostStatus, ObservedFromStartOnlyWithTheFirstAnnouncement)
+TEST(HostStatus, KnowsWhetherTheIncarnationWasObservedFromStart)
 {
   Receive(Announcement("a", 100, 7));
   CHECK_FALSE(mStatus.IsObservedFromStart());
