--- a/src/steer/BoundedTable.h
+++ b/src/steer/BoundedTable.h
@@ -16,12 +16,12 @@
 
 namespace heatherplank {
 
-/** A map from flow to Value with room for a fixed number, in the order of last
- * use. Entries are never moved; a freed one is used again, so the steady state
- * allocates nothing.
+/** A map from flow to Value with a fixed capacity, in least-recently-used
+ * order. Entries have stable addresses and are reused when freed, so the steady
+ * state does not allocate.
  *
- * Entries are in one of two classes, each with its own order: what may be
- * evicted to make room, and what may not. Not thread safe.
+ * An entry is evictable or pinned; each of these classes has its own order. The
+ * table itself evicts nothing. Not thread safe.
  */
 template<typename Value>
 class BoundedTable
@@ -34,7 +34,7 @@
   {
     FlowKey mFlow;
     bool mInUse = false;
-    bool mKept = false;
+    bool mPinned = false;
     Time mSeen;
     Value mValue;
   };
@@ -63,22 +63,22 @@
   /** The entry of a flow, or null. Valid until it is erased. */
   Entry* Find(const FlowKey& aFlow)
   {
-    auto it = mIndex.find(aFlow, HashOf{}, Same{});
+    auto it = mIndex.find(aFlow, FlowHasher{}, EqualFlow{});
     return it == mIndex.end() ? nullptr : &*it;
   }
 
-  /** Adds an entry that may be evicted, or gives null if there is no room.
-   * Precondition: the flow is not in the table.
+  /** Adds an evictable entry; null if the table is full. Precondition: the flow
+   * is not in the table.
    */
   Entry* Insert(const FlowKey& aFlow, Time aNow)
   {
     if (IsFull()) {
       return nullptr;
     }
-    Entry& entry = TakeFree();
+    Entry& entry = AllocateEntry();
     entry.mFlow = aFlow;
     entry.mInUse = true;
-    entry.mKept = false;
+    entry.mPinned = false;
     entry.mSeen = aNow;
     entry.mValue = Value{};
     mIndex.insert(entry);
@@ -86,7 +86,7 @@
     return &entry;
   }
 
-  /** Finds or inserts; null if it is absent and there is no room. */
+  /** Finds and touches, or inserts; null if absent and the table is full. */
   Entry* Put(const FlowKey& aFlow, Time aNow)
   {
     Entry* entry = Find(aFlow);
@@ -97,19 +97,19 @@
     return entry;
   }
 
-  /** Makes an entry the one that was used last. */
+  /** Makes an entry the most recently used of its class. */
   void Touch(Entry& aEntry, Time aNow)
   {
-    auto& order = mOrder[aEntry.mKept ? 1 : 0];
+    auto& order = mOrder[aEntry.mPinned ? 1 : 0];
     aEntry.mSeen = aNow;
     order.splice(order.end(), order, order.iterator_to(aEntry));
   }
 
-  /** Moves an entry to the class that is never evicted. */
-  void Keep(Entry& aEntry)
+  /** Makes an entry pinned, for the rest of its lifetime. */
+  void Pin(Entry& aEntry)
   {
-    if (!aEntry.mKept) {
-      aEntry.mKept = true;
+    if (!aEntry.mPinned) {
+      aEntry.mPinned = true;
       mOrder[1].splice(mOrder[1].end(), mOrder[0],
                        mOrder[0].iterator_to(aEntry));
     }
@@ -118,32 +118,32 @@
   void Erase(Entry& aEntry)
   {
     mIndex.erase(mIndex.iterator_to(aEntry));
-    auto& order = mOrder[aEntry.mKept ? 1 : 0];
+    auto& order = mOrder[aEntry.mPinned ? 1 : 0];
     order.erase(order.iterator_to(aEntry));
     aEntry.mInUse = false;
     aEntry.mValue = Value{};
     mFree.push_back(aEntry);
   }
 
-  /** The entry that was used longest ago among those that may be evicted, or
-   * among those that may not; null if there is none.
+  /** The least recently used of the evictable or of the pinned entries; null if
+   * there is none.
    */
-  Entry* Oldest(bool aKept = false)
+  Entry* Oldest(bool aPinned = false)
   {
-    auto& order = mOrder[aKept ? 1 : 0];
+    auto& order = mOrder[aPinned ? 1 : 0];
     return order.empty() ? nullptr : &order.front();
   }
 
-  /** Erases entries that were last used before aBefore, oldest first. Each is
-   * shown to aGone first; if that gives false the entry counts as used at aNow
-   * instead. Looks at most at aLimit of them.
+  /** Erases entries that were last used before aBefore, oldest first. aGone is
+   * called with each one; if it returns false, the entry is touched at aNow
+   * instead. Checks at most aLimit entries of each class.
    */
   template<typename Fn>
   void Expire(Time aBefore, Time aNow, Fn&& aGone, std::size_t aLimit = 4096)
   {
-    for (bool kept : { false, true }) {
+    for (bool pinned : { false, true }) {
       for (std::size_t n = 0; n < aLimit; ++n) {
-        Entry* oldest = Oldest(kept);
+        Entry* oldest = Oldest(pinned);
         if (oldest == nullptr || oldest->mSeen >= aBefore) {
           break;
         }
@@ -156,24 +156,24 @@
     }
   }
 
-  /** Positions that were ever used: for sweeps with At. */
+  /** Number of allocated slots, for iteration with At. */
   std::size_t Slots() const { return mStorage.size(); }
 
-  /** The entry at a position, or null if that is free now. */
+  /** The entry in a slot below Slots(), or null if the slot is free. */
   Entry* At(std::size_t aSlot)
   {
     Entry& entry = mStorage[aSlot];
     return entry.mInUse ? &entry : nullptr;
   }
 
-  /** Bytes of one entry with its share of the index, when full. */
+  /** Bytes of one entry with its share of the index, in a full table. */
   static constexpr std::size_t BytesPerEntry()
   {
     return sizeof(Entry) + sizeof(typename Index::bucket_type);
   }
 
 private:
-  struct HashOf
+  struct FlowHasher
   {
     std::size_t operator()(const FlowKey& aFlow) const
     {
@@ -184,7 +184,7 @@
       return HashFlow(aEntry.mFlow);
     }
   };
-  struct Same
+  struct EqualFlow
   {
     bool operator()(const FlowKey& aLeft, const Entry& aRight) const
     {
@@ -200,12 +200,12 @@
     }
   };
   using Index =
-    boost::intrusive::unordered_set<Entry, boost::intrusive::hash<HashOf>,
-                                    boost::intrusive::equal<Same>,
+    boost::intrusive::unordered_set<Entry, boost::intrusive::hash<FlowHasher>,
+                                    boost::intrusive::equal<EqualFlow>,
                                     boost::intrusive::power_2_buckets<true>>;
   using Order = boost::intrusive::list<Entry>;
 
-  Entry& TakeFree()
+  Entry& AllocateEntry()
   {
     if (mFree.empty()) {
       return mStorage.emplace_back();
--- a/src/steer/FlowClaimer.cpp
+++ b/src/steer/FlowClaimer.cpp
@@ -4,35 +4,36 @@
 
 namespace {
 
-/** An owner's word holds until its rival's claim has come this many times. */
-constexpr int kClaimsToSee = 6;
+/** How long a confirmation by the owner stays valid against a conflicting
+ * claim, in retry intervals of the claim. */
+constexpr int kConfirmationRetryIntervals = 6;
 
 } // namespace
 
-void FlowClaimer::Consider(FlowTable::Entry& aFlow, Time aNow,
-                           OwnershipActions& aOut)
+void FlowClaimer::ClaimIfDue(FlowTable::Entry& aFlow, Time aNow,
+                             OwnershipActions& aOut)
 {
   OwnedFlow& flow = aFlow.mValue;
   std::uint32_t generation = mState.mViews.Generation();
-  Duration age = aNow - flow.mClaimAt;
-  bool isDue =
-    flow.mClaimedIn != generation || age > mState.mOptions.mClaimRefresh;
+  Duration age = aNow - flow.mClaimedAt;
+  bool isDue = flow.mClaimedGeneration != generation ||
+               age > mState.mOptions.mClaimRefreshInterval;
   if (!isDue || !mState.mOptions.mGuards.mClaim) {
     return;
   }
   const Member* arbiter = mState.mViews.Arbiter(HashFlow(aFlow.mFlow));
   bool isSelf = arbiter != nullptr && arbiter->mHost == mState.mSelf.mHost;
   if (arbiter == nullptr || isSelf) {
-    flow.mClaimedIn = generation;
+    flow.mClaimedGeneration = generation;
     flow.mClaimedTo = mState.mSelf.mHost;
-    flow.mClaimAt = aNow;
+    flow.mClaimedAt = aNow;
     return;
   }
-  bool wasSent = flow.mClaimAt != Time{};
-  if (wasSent && age < mState.mOptions.mRetry) {
+  bool wasSent = flow.mClaimedAt != Time{};
+  if (wasSent && age < mState.mOptions.mRetryInterval) {
     return;
   }
-  flow.mClaimAt = aNow;
+  flow.mClaimedAt = aNow;
   Batch& batch = mBatches[arbiter->mHost];
   batch.mTo = arbiter->mTunnel;
   batch.mClaim.mFlows.push_back(mState.Describe(aFlow));
@@ -60,30 +61,30 @@
   mBatches.clear();
 }
 
-bool FlowClaimer::Take(const Peer& aFrom, ClaimedFlow& aClaimed, Time aNow,
-                       OwnershipActions& aOut)
+bool FlowClaimer::HandleClaim(const Peer& aFrom, ClaimedFlow& aClaimed,
+                              Time aNow, OwnershipActions& aOut)
 {
   OwnerTable::Entry* known = mState.mDirectory.Put(aClaimed.mFlow, aNow);
   if (known == nullptr) {
-    // An owner that is not in the directory could be overlooked; as long as
-    // entries live, every unknown flow is asked about instead.
+    // The owner would be missed without a directory entry. For the lifetime of
+    // entries, every unknown flow is therefore placed only after a query.
     ++mState.mCounters[OwnershipCount::DirectoryFull];
-    mState.mViews.DistrustUntil(aNow + mState.mOptions.mDirectoryIdle);
+    mState.mViews.DistrustUntil(aNow + mState.mOptions.mDirectoryIdleTimeout);
     return false;
   }
   KnownOwner& entry = known->mValue;
   bool isNew = entry.mEpoch == 0;
-  bool isSameLife = entry.mEpoch == aClaimed.mEpoch;
-  // Of two starts of one host the later one alone exists.
+  bool isSameEpoch = entry.mEpoch == aClaimed.mEpoch;
+  // Of two incarnations of one host only the newer one exists.
   bool isSameOwner = entry.mOwner.mHost == aFrom.mHost &&
                      entry.mOwner.mIncarnation <= aFrom.mIncarnation;
-  bool isDead = !isNew && mState.mViews.StatusOf(entry.mOwner, entry.mLearned,
+  bool isDead = !isNew && mState.mViews.StatusOf(entry.mOwner, entry.mLearnedAt,
                                                  aNow) != PeerStatus::Live;
-  if (!isNew && !isSameLife && !isSameOwner && !isDead) {
-    return Dispute(*known, aNow, aOut);
+  if (!isNew && !isSameEpoch && !isSameOwner && !isDead) {
+    return HandleConflict(*known, aNow, aOut);
   }
-  // What an owner says of itself holds, whatever it was meant to adopt.
-  bool isOutdated = isSameLife && aClaimed.mMoves < entry.mMoves;
+  // An owner's own claim prevails over the epoch that it was ordered to adopt.
+  bool isOutdated = isSameEpoch && aClaimed.mMoves < entry.mMoves;
   if (!isOutdated) {
     entry = { aFrom, aClaimed.mEpoch, aNow, {}, {}, aClaimed.mMoves };
   }
@@ -91,16 +92,17 @@
   return true;
 }
 
-bool FlowClaimer::Dispute(OwnerTable::Entry& aKnown, Time aNow,
-                          OwnershipActions& aOut)
+bool FlowClaimer::HandleConflict(OwnerTable::Entry& aKnown, Time aNow,
+                                 OwnershipActions& aOut)
 {
-  // The entry may be what is left of a life that has ended, or was never begun.
-  // Were the claim turned down on its word, an established flow would be let
-  // go; so its owner has to say first that it owns the flow. The claim comes
-  // again meanwhile.
-  bool isSure =
-    aNow - aKnown.mValue.mVerifiedAt < mState.mOptions.mRetry * kClaimsToSee;
-  if (isSure) {
+  // The entry may date from an epoch that has ended, or was never adopted.
+  // Rejecting the claim because of it would make the claimant release an
+  // established flow, so the owner in the entry must confirm first that it owns
+  // the flow. The claimant repeats its claim meanwhile.
+  bool isRecentlyConfirmed =
+    aNow - aKnown.mValue.mVerifiedAt <
+    mState.mOptions.mRetryInterval * kConfirmationRetryIntervals;
+  if (isRecentlyConfirmed) {
     ++mState.mCounters[OwnershipCount::ClaimConflicts];
     return true;
   }
@@ -109,7 +111,7 @@
   return false;
 }
 
-void FlowClaimer::OnVerified(const AskReply& aReply, Time aNow)
+void FlowClaimer::OnVerifyReply(const AskReply& aReply, Time aNow)
 {
   OwnerTable::Entry* known = mState.mDirectory.Find(aReply.mFlow);
   if (known == nullptr || known->mValue.mOwner.mHost != aReply.mFrom.mHost) {
--- a/src/steer/FlowClaimer.h
+++ b/src/steer/FlowClaimer.h
@@ -7,13 +7,14 @@
 
 namespace heatherplank {
 
-/** Tells arbiters which flows this host owns.
+/** Notifies arbiters of the flows that this host owns.
  *
  * Guards against this failure: a view change gives a flow a new arbiter, the
- * views settle, and the new arbiter, which by then asks nobody, takes the
- * flow's next packet for a new flow. The caller would see its flow answered by
- * another life. Each owner therefore claims its flows from a new arbiter until
- * that has acknowledged them, many times over within the settle window.
+ * views settle, and the new arbiter, which by then no longer queries other
+ * hosts, places the flow's next packet as a new flow. The caller's established
+ * flow would be answered by a host without its state. Each owner therefore
+ * repeats its claim to a new arbiter until it is acknowledged, many times
+ * within the settle window.
  *
  * Not thread safe. The state must outlive it.
  */
@@ -25,27 +26,29 @@
   {
   }
 
-  /** Looks at an owned flow during a sweep; the claim waits for Flush. */
-  void Consider(FlowTable::Entry& aFlow, Time aNow, OwnershipActions& aOut);
+  /** Adds a claim to the batch if one is due for this owned flow; Flush sends
+   * it. */
+  void ClaimIfDue(FlowTable::Entry& aFlow, Time aNow, OwnershipActions& aOut);
 
-  /** Sends the claims that Consider collected. */
+  /** Sends the claims that ClaimIfDue collected. */
   void Flush(OwnershipActions& aOut);
 
-  /** The round of asks that only find out if an entry is still true. */
+  /** The round number of queries that only verify a directory entry. */
   static constexpr std::uint64_t kVerifyRound = 0;
 
-  /** As arbiter: takes a claim of a flow that this host does not own. Gives
-   * the answer, and false if none is to be sent yet: there is no room, or
-   * another owner is known that has to confirm it first.
+  /** As arbiter: handles a claim of a flow that this host does not own. Sets
+   * aClaimed.mAccepted; false if no acknowledgement is to be sent yet: the
+   * directory is full, or another known owner must confirm first.
    */
-  bool Take(const Peer& aFrom, ClaimedFlow& aClaimed, Time aNow,
-            OwnershipActions& aOut);
+  bool HandleClaim(const Peer& aFrom, ClaimedFlow& aClaimed, Time aNow,
+                   OwnershipActions& aOut);
 
-  /** Takes the answer to an ask of kVerifyRound. */
-  void OnVerified(const AskReply& aReply, Time aNow);
+  /** Handles the reply to a query of kVerifyRound. */
+  void OnVerifyReply(const AskReply& aReply, Time aNow);
 
 private:
-  bool Dispute(OwnerTable::Entry& aKnown, Time aNow, OwnershipActions& aOut);
+  bool HandleConflict(OwnerTable::Entry& aKnown, Time aNow,
+                      OwnershipActions& aOut);
   void Send(Claim& aClaim, const Address& aTo, OwnershipActions& aOut);
 
   struct Batch
--- a/src/steer/FlowMover.cpp
+++ b/src/steer/FlowMover.cpp
@@ -7,73 +7,75 @@
 
 namespace {
 
-/** Counts the flow's moves past those of the offer that is given up. If its
- * receiver took it after all, and wakes later, it sees that its is the older.
+/** Raises the flow's moves above those of the abandoned offer (mMoves + 1). If
+ * the receiver accepted that offer after all and resumes after a stall, its
+ * lower count shows that its ownership is outdated.
  */
-void PassOffer(OwnedFlow& aFlow)
+void SkipOfferedMove(OwnedFlow& aFlow)
 {
   aFlow.mMoves = static_cast<std::uint16_t>(aFlow.mMoves + 2);
 }
 
 } // namespace
 
-void FlowMover::Consider(FlowTable::Entry& aFlow, Time aNow,
-                         OwnershipActions& aOut)
+void FlowMover::StartIfReady(FlowTable::Entry& aFlow, Time aNow,
+                             OwnershipActions& aOut)
 {
-  bool isReady = aFlow.mValue.mBusy == 0 && !aFlow.mValue.mMoving &&
+  bool isReady = aFlow.mValue.mActiveRequests == 0 && !aFlow.mValue.mMoving &&
                  mState.IsConfirmed(aFlow.mValue) && aNow >= mPauseUntil;
-  if (!isReady || mMoves.IsFull()) {
+  if (!isReady || mPending.IsFull()) {
     return;
   }
-  Moves::Entry& move = *mMoves.Insert(aFlow.mFlow, aNow);
+  PendingHandOffs::Entry& pending = *mPending.Insert(aFlow.mFlow, aNow);
   aFlow.mValue.mMoving = true;
-  Retarget(move, aFlow, aNow, aOut);
+  Retarget(pending, aFlow, aNow, aOut);
 }
 
-bool FlowMover::ChooseTarget(Moves::Entry& aMove, Time aNow)
+bool FlowMover::ChooseTarget(PendingHandOffs::Entry& aPending, Time aNow)
 {
-  std::uint64_t hash = HashFlow(aMove.mFlow);
-  RankedMembers left;
+  std::uint64_t hash = HashFlow(aPending.mFlow);
+  RankedMembers targets;
   for (const Member* it : mState.mViews.Candidates(hash)) {
-    const auto& refused = aMove.mValue.mRefusedBy;
+    const auto& refused = aPending.mValue.mRefusedBy;
     bool isOpen =
       std::find(refused.begin(), refused.end(), it->mHost) == refused.end();
     if (isOpen && it->mHost != mState.mSelf.mHost) {
-      left.push_back(it);
+      targets.push_back(it);
     }
   }
-  if (left.empty()) {
+  if (targets.empty()) {
     return false;
   }
   std::size_t pick =
-    mState.mPolicy.Pick({ left.data(), left.size() }, hash, aNow);
-  aMove.mValue.mTo = ToPeer(*left[pick < left.size() ? pick : 0]);
+    mState.mPolicy.Pick({ targets.data(), targets.size() }, hash, aNow);
+  aPending.mValue.mTo = ToPeer(*targets[pick < targets.size() ? pick : 0]);
   return true;
 }
 
-void FlowMover::Retarget(Moves::Entry& aMove, FlowTable::Entry& aFlow,
-                         Time aNow, OwnershipActions& aOut)
+void FlowMover::Retarget(PendingHandOffs::Entry& aPending,
+                         FlowTable::Entry& aFlow, Time aNow,
+                         OwnershipActions& aOut)
 {
-  if (ChooseTarget(aMove, aNow)) {
+  if (ChooseTarget(aPending, aNow)) {
     ++aFlow.mValue.mAttempt;
-    aMove.mValue.mStart = aNow;
-    Offer(aMove, aFlow, aNow, aOut);
+    aPending.mValue.mStart = aNow;
+    Offer(aPending, aFlow, aNow, aOut);
     return;
   }
   aFlow.mValue.mMoving = false;
-  for (const Held& it : aMove.mValue.mHeld) {
+  for (const Held& it : aPending.mValue.mHeld) {
     mState.Dispatch(it.mPacket, aFlow, aNow, aOut);
   }
-  mMoves.Erase(aMove);
+  mPending.Erase(aPending);
   mPauseUntil = aNow + mState.mOptions.mRetryAfter;
 }
 
-void FlowMover::Offer(Moves::Entry& aMove, FlowTable::Entry& aFlow, Time aNow,
-                      OwnershipActions& aOut)
+void FlowMover::Offer(PendingHandOffs::Entry& aPending, FlowTable::Entry& aFlow,
+                      Time aNow, OwnershipActions& aOut)
 {
-  const Peer& to = aMove.mValue.mTo;
+  const Peer& to = aPending.mValue.mTo;
   const OwnedFlow& flow = aFlow.mValue;
-  aMove.mValue.mNextTry = aNow + mState.mOptions.mRetry;
+  aPending.mValue.mNextTry = aNow + mState.mOptions.mRetryInterval;
   ++mState.mCounters[OwnershipCount::HandOffsSent];
   HandOff offer{ aFlow.mFlow,
                  mState.mSelf,
@@ -81,7 +83,7 @@
                  flow.mEpoch,
                  static_cast<std::uint16_t>(flow.mMoves + 1),
                  flow.mAttempt,
-                 aFlow.mKept,
+                 aFlow.mPinned,
                  {} };
   aOut.push_back(ExportFlow{ to.mTunnel, offer });
 }
@@ -89,20 +91,20 @@
 void FlowMover::Hold(const PacketEvent& aPacket, Time aNow,
                      OwnershipActions& aOut)
 {
-  Move& move = mMoves.Find(aPacket.mFlow)->mValue;
-  if (move.mHeld.size() >= mState.mOptions.mMaxHeld) {
+  PendingHandOff& pending = mPending.Find(aPacket.mFlow)->mValue;
+  if (pending.mHeld.size() >= mState.mOptions.mMaxHeldPackets) {
     mState.Refuse(aPacket, OwnershipRefusal::TooManyHeld, aOut);
     return;
   }
-  move.mHeld.push_back({ aPacket, aNow + mState.mOptions.mAskDeadline });
+  pending.mHeld.push_back({ aPacket, aNow + mState.mOptions.mQueryTimeout });
 }
 
 void FlowMover::OnAck(const HandOffAck& aAck, Time aNow, OwnershipActions& aOut)
 {
-  Moves::Entry* move = mMoves.Find(aAck.mFlow);
+  PendingHandOffs::Entry* pending = mPending.Find(aAck.mFlow);
   FlowTable::Entry* flow = mState.mFlows.Find(aAck.mFlow);
-  bool isCurrent = move != nullptr && flow != nullptr &&
-                   move->mValue.mTo.mHost == aAck.mFrom.mHost &&
+  bool isCurrent = pending != nullptr && flow != nullptr &&
+                   pending->mValue.mTo.mHost == aAck.mFrom.mHost &&
                    flow->mValue.mAttempt == aAck.mAttempt &&
                    flow->mValue.mEpoch == aAck.mEpoch;
   if (!isCurrent) {
@@ -110,15 +112,15 @@
   }
   if (!aAck.mAccepted) {
     ++mState.mCounters[OwnershipCount::HandOffsRefused];
-    move->mValue.mRefusedBy.push_back(aAck.mFrom.mHost);
-    PassOffer(flow->mValue);
-    Retarget(*move, *flow, aNow, aOut);
+    pending->mValue.mRefusedBy.push_back(aAck.mFrom.mHost);
+    SkipOfferedMove(flow->mValue);
+    Retarget(*pending, *flow, aNow, aOut);
     return;
   }
   ++mState.mCounters[OwnershipCount::HandOffsAccepted];
   FlowEpoch epoch = flow->mValue.mEpoch;
   auto moves = static_cast<std::uint16_t>(flow->mValue.mMoves + 1);
-  Peer to = move->mValue.mTo;
+  Peer to = pending->mValue.mTo;
   mState.RememberMove(aAck.mFlow, to, epoch, moves, aNow);
   Cancel(aAck.mFlow, to, epoch, aOut);
   mState.Drop(*flow, aOut);
@@ -127,19 +129,20 @@
 void FlowMover::Cancel(const FlowKey& aFlow, const Peer& aOwner,
                        FlowEpoch aEpoch, OwnershipActions& aOut)
 {
-  Moves::Entry* move = mMoves.Find(aFlow);
-  if (move == nullptr) {
+  PendingHandOffs::Entry* pending = mPending.Find(aFlow);
+  if (pending == nullptr) {
     return;
   }
-  for (const Held& it : move->mValue.mHeld) {
+  for (const Held& it : pending->mValue.mHeld) {
     mState.Forward(it.mPacket, aOwner, PacketDirective::Deliver, aEpoch, aOut);
   }
-  mMoves.Erase(*move);
+  mPending.Erase(*pending);
 }
 
-void FlowMover::RefuseOverdue(Move& aMove, Time aNow, OwnershipActions& aOut)
+void FlowMover::RefuseOverdue(PendingHandOff& aPending, Time aNow,
+                              OwnershipActions& aOut)
 {
-  std::erase_if(aMove.mHeld, [&](const Held& aIt) {
+  std::erase_if(aPending.mHeld, [&](const Held& aIt) {
     bool isOver = aNow >= aIt.mUntil;
     if (isOver) {
       mState.Refuse(aIt.mPacket, OwnershipRefusal::Moving, aOut);
@@ -151,28 +154,28 @@
 void FlowMover::Tick(Time aNow, OwnershipActions& aOut,
                      std::vector<FlowKey>& aUnconfirmed)
 {
-  for (std::size_t i = 0; i < mMoves.Slots(); ++i) {
-    Moves::Entry* move = mMoves.At(i);
-    if (move == nullptr) {
+  for (std::size_t i = 0; i < mPending.Slots(); ++i) {
+    PendingHandOffs::Entry* pending = mPending.At(i);
+    if (pending == nullptr) {
       continue;
     }
-    FlowTable::Entry& flow = *mState.mFlows.Find(move->mFlow);
-    RefuseOverdue(move->mValue, aNow, aOut);
-    if (aNow < move->mValue.mNextTry) {
+    FlowTable::Entry& flow = *mState.mFlows.Find(pending->mFlow);
+    RefuseOverdue(pending->mValue, aNow, aOut);
+    if (aNow < pending->mValue.mNextTry) {
       continue;
     }
     if (!mState.IsConfirmed(flow.mValue)) {
-      aUnconfirmed.push_back(move->mFlow);
+      aUnconfirmed.push_back(pending->mFlow);
       continue;
     }
     PeerStatus status =
-      mState.mViews.StatusOf(move->mValue.mTo, move->mValue.mStart, aNow);
+      mState.mViews.StatusOf(pending->mValue.mTo, pending->mValue.mStart, aNow);
     if (status == PeerStatus::Gone) {
-      move->mValue.mRefusedBy.push_back(move->mValue.mTo.mHost);
-      PassOffer(flow.mValue);
-      Retarget(*move, flow, aNow, aOut);
+      pending->mValue.mRefusedBy.push_back(pending->mValue.mTo.mHost);
+      SkipOfferedMove(flow.mValue);
+      Retarget(*pending, flow, aNow, aOut);
     } else {
-      Offer(*move, flow, aNow, aOut);
+      Offer(*pending, flow, aNow, aOut);
     }
   }
 }
--- a/src/steer/FlowMover.h
+++ b/src/steer/FlowMover.h
@@ -7,41 +7,42 @@
 
 namespace heatherplank {
 
-/** Hands the flows of a draining host to others, each at a request boundary.
+/** Hands off the flows of a draining host, each between two requests.
  *
- * A flow on its way gets no packets dispatched. If its new owner neither
- * accepts nor refuses, it is offered to nobody else until that host is held
- * dead and its fence has passed: it may have accepted, and a second offer would
- * make two owners. Not thread safe. The state must outlive it.
+ * No packet of a flow is dispatched during its hand-off. If the target neither
+ * accepts nor refuses, the flow is not offered to another host until the target
+ * is declared dead and its fence has passed: the target may have accepted, and
+ * a second offer could result in two owners. Not thread safe. The state must
+ * outlive it.
  */
 class FlowMover
 {
 public:
   explicit FlowMover(OwnershipState& aState)
     : mState(aState)
-    , mMoves(aState.mOptions.mMaxMoving)
+    , mPending(aState.mOptions.mMaxHandOffs)
   {
   }
 
-  /** Begins to move a flow if it is at a request boundary, confirmed, and there
-   * is somebody to take it.
+  /** Starts the hand-off of a flow if it is confirmed, has no request in
+   * progress, and there is a host to offer it to.
    */
-  void Consider(FlowTable::Entry& aFlow, Time aNow, OwnershipActions& aOut);
+  void StartIfReady(FlowTable::Entry& aFlow, Time aNow, OwnershipActions& aOut);
 
-  /** Holds a packet for a flow on its way, or refuses it. */
+  /** Holds a packet for a flow that is being handed off, or refuses it. */
   void Hold(const PacketEvent& aPacket, Time aNow, OwnershipActions& aOut);
 
-  /** Takes the answer of the new owner. */
+  /** Handles the reply of the target. */
   void OnAck(const HandOffAck& aAck, Time aNow, OwnershipActions& aOut);
 
-  /** Gives a move up since the flow turned out to be owned elsewhere; its held
-   * packets go there.
+  /** Ends the hand-off of a flow, if there is one, because aOwner owns the
+   * flow; forwards the held packets to aOwner.
    */
   void Cancel(const FlowKey& aFlow, const Peer& aOwner, FlowEpoch aEpoch,
               OwnershipActions& aOut);
 
-  /** Tries again, and refuses packets that waited for long enough. Flows that
-   * must be confirmed before their move goes on are added to aUnconfirmed.
+  /** Repeats offers, and refuses held packets that timed out. Adds flows to
+   * aUnconfirmed that must be reconfirmed before their hand-off continues.
    */
   void Tick(Time aNow, OwnershipActions& aOut,
             std::vector<FlowKey>& aUnconfirmed);
@@ -52,7 +53,7 @@
     PacketEvent mPacket;
     Time mUntil;
   };
-  struct Move
+  struct PendingHandOff
   {
     Peer mTo;
     Time mStart;
@@ -60,18 +61,19 @@
     std::vector<HostId> mRefusedBy;
     std::vector<Held> mHeld;
   };
-  using Moves = BoundedTable<Move>;
+  using PendingHandOffs = BoundedTable<PendingHandOff>;
 
-  bool ChooseTarget(Moves::Entry& aMove, Time aNow);
-  void Offer(Moves::Entry& aMove, FlowTable::Entry& aFlow, Time aNow,
-             OwnershipActions& aOut);
-  void Retarget(Moves::Entry& aMove, FlowTable::Entry& aFlow, Time aNow,
-                OwnershipActions& aOut);
-  void RefuseOverdue(Move& aMove, Time aNow, OwnershipActions& aOut);
+  bool ChooseTarget(PendingHandOffs::Entry& aPending, Time aNow);
+  void Offer(PendingHandOffs::Entry& aPending, FlowTable::Entry& aFlow,
+             Time aNow, OwnershipActions& aOut);
+  void Retarget(PendingHandOffs::Entry& aPending, FlowTable::Entry& aFlow,
+                Time aNow, OwnershipActions& aOut);
+  void RefuseOverdue(PendingHandOff& aPending, Time aNow,
+                     OwnershipActions& aOut);
 
   OwnershipState& mState;
-  Moves mMoves;
-  /** No new move before this, since nobody took the last one. */
+  PendingHandOffs mPending;
+  /** No hand-off is started before this, after one found no target. */
   Time mPauseUntil;
 };
 
--- a/src/steer/HintCache.cpp
+++ b/src/steer/HintCache.cpp
@@ -12,7 +12,7 @@
 
 HintCache::Set& HintCache::SetOf(std::uint64_t aFlowHash)
 {
-  // The high bits: the low ones choose the bucket of a rank table.
+  // Uses the high bits, since the low ones select the bucket of a RankTable.
   return mSets[(aFlowHash >> 32) & (mSets.size() - 1)];
 }
 
--- a/src/steer/HintCache.h
+++ b/src/steer/HintCache.h
@@ -10,39 +10,39 @@
 
 namespace heatherplank {
 
-/** Who owns a flow, as far as a balancer has heard. */
+/** The owner of a flow as last reported to a balancer. */
 struct OwnerHint
 {
   HostId mHost;
   Incarnation mIncarnation = 0;
 };
 
-/** A balancer's memory of flow owners: bounded and safe to lose. A wrong hint
- * costs a hop, never a flow, since the agent that gets the packet checks.
+/** A balancer's cache of flow owners: bounded and safe to lose. A wrong hint
+ * costs a hop but breaks no flow, since the receiving agent checks.
  *
- * Set-associative by the flow's hash: of the flows that meet in a set of four
- * the one that was used longest ago gives way, so that a flood of new flows
- * costs no sweep and no allocation. Not thread safe: one for each shard.
+ * Four-way set-associative by the flow's hash, with least-recently-used
+ * eviction within a set, so that a flood of new flows costs neither a sweep nor
+ * an allocation. Not thread safe: one per shard.
  */
 class HintCache
 {
 public:
-  /** Room for aCapacity flows, rounded up to a power of two, at 24 bytes. */
+  /** aCapacity: flows, rounded up to a power of two; 24 bytes each. */
   explicit HintCache(std::size_t aCapacity);
 
   /** The hint for a flow's hash, or none. */
   std::optional<OwnerHint> Find(std::uint64_t aFlowHash);
 
-  /** Remembers an owner; may push out another flow's hint (counted). */
+  /** Stores an owner; may evict another flow's hint. */
   void Put(std::uint64_t aFlowHash, const OwnerHint& aOwner);
 
-  /** Forgets a flow, if it is there. */
+  /** Removes the hint of a flow, if there is one. */
   void Erase(std::uint64_t aFlowHash);
 
-  /** Hints that gave way to others since the start. */
+  /** Number of evicted hints since the start. */
   std::uint64_t Evictions() const { return mEvictions; }
 
-  /** Bytes that the cache holds. */
+  /** Bytes that the cache uses. */
   std::size_t MemoryUse() const { return mSets.capacity() * sizeof(Set); }
 
 private:
@@ -53,7 +53,7 @@
     std::uint64_t mFlowHash = 0;
     OwnerHint mOwner;
   };
-  /** The entry that was used last stands first. */
+  /** Entries in the order of last use, most recent first. */
   using Set = std::array<Entry, kWays>;
 
   Set& SetOf(std::uint64_t aFlowHash);
--- a/src/steer/Ownership.cpp
+++ b/src/steer/Ownership.cpp
@@ -7,10 +7,10 @@
 
 namespace {
 
-/** After so many hops an agent that is not the arbiter in its own view acts as
- * one, since the views of those before it disagree.
+/** After this number of hops an agent acts as arbiter even if its own
+ * view names another one, since the views of the agents before it disagree.
  */
-constexpr std::uint8_t kActAfterHops = 2;
+constexpr std::uint8_t kActAsArbiterHops = 2;
 
 } // namespace
 
@@ -18,7 +18,7 @@
                      OwnerPolicy& aPolicy, const OwnershipOptions& aOptions,
                      Time aStart)
   : mState(aSelf, aService, aPolicy, aOptions, aStart)
-  , mAsker(mState.mSelf, mState.mOptions, mState.mViews)
+  , mLookups(mState.mSelf, mState.mOptions, mState.mViews)
   , mClaimer(mState)
   , mMover(mState)
 {
@@ -26,21 +26,21 @@
 
 void Ownership::CheckLease(Time aNow, OwnershipActions& aOut)
 {
-  // A host that is paused or cut off is held dead after a while, and its flows
-  // are taken over. Were it to go on as before when it wakes, two hosts would
-  // dispatch for one flow. Others wait for longer than the trust in a view
-  // lasts, so whoever finds its own view still trusted has lost nothing, and
-  // whoever does not asks before it dispatches again.
-  bool lapses = mState.mOptions.mGuards.mLease && mWasFresh &&
-                !mState.mHasLapsed && !mState.mViews.IsFresh(aNow);
-  if (!lapses) {
+  // A stalled or isolated host is eventually declared dead, and other hosts
+  // take over its flows. If it resumed without a check, two hosts would
+  // dispatch requests of one flow. The others wait longer than
+  // mViewTrustTimeout, so a host whose view is still fresh has lost no flow; a
+  // host whose view is not must query before it dispatches again.
+  bool expires = mState.mOptions.mGuards.mLease && mWasFresh &&
+                 !mState.mLeaseExpired && !mState.mViews.IsFresh(aNow);
+  if (!expires) {
     return;
   }
-  mState.mHasLapsed = true;
+  mState.mLeaseExpired = true;
   ++mState.mCounters[OwnershipCount::Lapses];
-  std::vector<AskResult> ended;
-  mAsker.EndAll(ended);
-  for (const AskResult& it : ended) {
+  std::vector<LookupResult> ended;
+  mLookups.AbortAll(ended);
+  for (const LookupResult& it : ended) {
     RefuseHeld(it, OwnershipRefusal::ViewStale, mState.mOptions.mRetryAfter,
                aOut);
   }
@@ -49,7 +49,7 @@
 bool Ownership::MayDispatch(Time aNow) const
 {
   return !mState.mOptions.mGuards.mLease ||
-         (!mState.mHasLapsed && mState.mViews.IsFresh(aNow));
+         (!mState.mLeaseExpired && mState.mViews.IsFresh(aNow));
 }
 
 void Ownership::OnView(ServiceViewPtr aView, Time aConfirmedAt, Time aNow,
@@ -58,10 +58,10 @@
   CheckLease(aNow, aOut);
   mState.mViews.OnView(std::move(aView), aConfirmedAt, aNow);
   mWasFresh = mWasFresh || mState.mViews.IsFresh(aNow);
-  if (mState.mHasLapsed && mState.mViews.IsFresh(aNow)) {
-    mState.mHasLapsed = false;
-    ++mState.mLapses;
-    mState.mViews.OnLapse(aNow);
+  if (mState.mLeaseExpired && mState.mViews.IsFresh(aNow)) {
+    mState.mLeaseExpired = false;
+    ++mState.mLeaseTerm;
+    mState.mViews.OnLeaseRegained(aNow);
   }
   const Member* self = mState.mViews.Find(mState.mSelf.mHost);
   if (self != nullptr && !CanAdopt(*self) &&
@@ -82,8 +82,8 @@
                          OwnershipActions& aOut)
 {
   CheckLease(aNow, aOut);
-  // The balancer checked this too, by its view of that moment; an address may
-  // have moved to another service since.
+  // The balancer checked this by its own view, but the address may have moved
+  // to another service since.
   if (aPacket.mService != mState.mService) {
     mState.Refuse(aPacket, OwnershipRefusal::WrongService, aOut);
     return;
@@ -92,7 +92,7 @@
     OnOwnedPacket(aPacket, *flow, aNow, aOut);
     return;
   }
-  if (mAsker.IsAsking(aPacket.mFlow)) {
+  if (mLookups.IsActive(aPacket.mFlow)) {
     Hold(aPacket, aOut);
     return;
   }
@@ -103,7 +103,7 @@
 
 void Ownership::Hold(const PacketEvent& aPacket, OwnershipActions& aOut)
 {
-  if (!mAsker.Hold(aPacket)) {
+  if (!mLookups.Hold(aPacket)) {
     mState.Refuse(aPacket, OwnershipRefusal::TooManyHeld, aOut);
   }
 }
@@ -118,10 +118,10 @@
     mMover.Hold(aPacket, aNow, aOut);
   } else if (mState.IsConfirmed(aFlow.mValue)) {
     mState.Dispatch(aPacket, aFlow, aNow, aOut);
-  } else if (mAsker.IsAsking(aPacket.mFlow)) {
+  } else if (mLookups.IsActive(aPacket.mFlow)) {
     Hold(aPacket, aOut);
   } else {
-    StartAsking(aPacket, mState.Describe(aFlow), AskPurpose::Reconfirm, aNow,
+    StartLookup(aPacket, mState.Describe(aFlow), AskPurpose::Reconfirm, aNow,
                 aOut);
   }
 }
@@ -133,7 +133,7 @@
     return true;
   }
   if (aPacket.mDirective == PacketDirective::Deliver) {
-    TellArbiter(aPacket, false, aOut);
+    NotifyArbiter(aPacket, false, aOut);
   }
   if (OnDirectoryPacket(aPacket, aNow, aOut)) {
     return true;
@@ -143,7 +143,7 @@
     return true;
   }
   PromiseTable::Entry* promise = FindPromise(aPacket.mFlow, aNow);
-  if (promise != nullptr && IsToBeKept(*promise, aPacket)) {
+  if (promise != nullptr && ShouldHonorPromise(*promise, aPacket)) {
     mState.Forward(aPacket, promise->mValue.mTo, PacketDirective::Route, 0,
                    aOut);
     return true;
@@ -151,17 +151,18 @@
   return false;
 }
 
-bool Ownership::IsToBeKept(const PromiseTable::Entry& aPromise,
-                           const PacketEvent& aPacket) const
+bool Ownership::ShouldHonorPromise(const PromiseTable::Entry& aPromise,
+                                   const PacketEvent& aPacket) const
 {
-  // Who drains since, or sends the packet here itself, does not place the flow;
-  // it would go back and forth. It is still asked about, since that host may
-  // have adopted it before.
+  // A host that is draining by now, or that forwarded the packet here itself,
+  // does not place the flow, and the packet would loop between the two hosts.
+  // The promise is then ignored and the host is queried instead, since it may
+  // have adopted the flow before.
   const Peer& to = aPromise.mValue.mTo;
   const Member* member = mState.mViews.Find(to.mHost);
   bool canAdopt = member == nullptr || CanAdopt(*member);
-  bool isRound = aPacket.mHops > kActAfterHops;
-  return canAdopt && to.mHost != aPacket.mArbiter && !isRound;
+  bool isLoop = aPacket.mHops > kActAsArbiterHops;
+  return canAdopt && to.mHost != aPacket.mArbiter && !isLoop;
 }
 
 bool Ownership::OnMovedPacket(const PacketEvent& aPacket, Time aNow,
@@ -173,8 +174,8 @@
   }
   const KnownOwner& known = moved->mValue;
   if (known.mOwner.mHost == aPacket.mArbiter) {
-    // That host would not send the packet here if it owned the flow. Both would
-    // send it to each other for as long as their entries last.
+    // That host would not forward the packet here if it owned the flow. The
+    // packets would loop between both hosts until their entries expire.
     mState.mMoved.Erase(*moved);
     return false;
   }
@@ -197,18 +198,18 @@
     return false;
   }
   PeerStatus status =
-    mState.mViews.StatusOf(known.mOwner, known.mLearned, aNow);
+    mState.mViews.StatusOf(known.mOwner, known.mLearnedAt, aNow);
   if (status == PeerStatus::Fenced) {
-    mState.Refuse(aPacket, OwnershipRefusal::PeerFenced, mState.mOptions.mFence,
-                  aOut);
+    mState.Refuse(aPacket, OwnershipRefusal::PeerFenced,
+                  mState.mOptions.mFenceDuration, aOut);
     return true;
   }
-  // An order to adopt is repeated for as long as the first may be on its way.
-  // After that it could revive a life that has expired while another one was
-  // established elsewhere, so the owner is asked to deliver, or say that it
-  // does not know the flow.
+  // The order to adopt is repeated while the first one may still be in flight.
+  // A later order could revive an epoch that has expired while the flow was
+  // established elsewhere under a newer one. Later packets are therefore sent
+  // with Deliver; an owner that no longer has the flow notifies the arbiter.
   bool isNew =
-    aNow < known.mJustPlacedUntil || !mState.mOptions.mGuards.mOldEntry;
+    aNow < known.mJustPlacedUntil || !mState.mOptions.mGuards.mStaleEntry;
   mState.mDirectory.Touch(*entry, aNow);
   mState.Forward(aPacket, known.mOwner,
                  isNew ? PacketDirective::Adopt : PacketDirective::Deliver,
@@ -219,26 +220,26 @@
 void Ownership::OnAdoptOrder(const PacketEvent& aPacket, Time aNow,
                              OwnershipActions& aOut)
 {
-  ClaimedFlow life{ aPacket.mFlow, aPacket.mEpoch, 0, false };
+  ClaimedFlow claimed{ aPacket.mFlow, aPacket.mEpoch, 0, false };
   mState.Observe(aPacket.mEpoch);
   PromiseTable::Entry* promise = FindPromise(aPacket.mFlow, aNow);
-  bool isForeign =
+  bool isPromisedElsewhere =
     promise != nullptr && promise->mValue.mTo.mHost != aPacket.mArbiter;
-  if (mState.mDraining || !mState.IsForThisStart(aPacket.mEpoch)) {
+  if (mState.mDraining || !mState.IsForThisIncarnation(aPacket.mEpoch)) {
     ++mState.mCounters[OwnershipCount::AdoptDeclined];
-    TellArbiter(aPacket, mState.mDraining, aOut);
+    NotifyArbiter(aPacket, mState.mDraining, aOut);
     OnUnknownPacket(aPacket, aNow, aOut);
   } else if (!MayDispatch(aNow)) {
     mState.Refuse(aPacket, OwnershipRefusal::ViewStale, aOut);
-  } else if (mState.mViews.HadLapsed(aNow) || isForeign) {
-    StartAsking(aPacket, life, AskPurpose::Place, aNow, aOut);
+  } else if (mState.mViews.LeaseExpiredRecently(aNow) || isPromisedElsewhere) {
+    StartLookup(aPacket, claimed, AskPurpose::Place, aNow, aOut);
   } else {
-    AdoptHere(life, aPacket.mArbiter, { &aPacket, 1 }, aNow, aOut);
+    AdoptHere(claimed, aPacket.mArbiter, { &aPacket, 1 }, aNow, aOut);
   }
 }
 
-void Ownership::TellArbiter(const PacketEvent& aPacket, bool aDeclines,
-                            OwnershipActions& aOut)
+void Ownership::NotifyArbiter(const PacketEvent& aPacket, bool aDeclines,
+                              OwnershipActions& aOut)
 {
   const Member* arbiter = mState.mViews.Find(aPacket.mArbiter);
   if (arbiter != nullptr && arbiter->mHost != mState.mSelf.mHost) {
@@ -263,29 +264,28 @@
     return;
   }
   bool isArbiter = arbiter->mHost == mState.mSelf.mHost;
-  bool acts = aPacket.mHops >= kActAfterHops && !mState.mDraining;
-  if (!isArbiter && !acts) {
+  bool actsAsArbiter = aPacket.mHops >= kActAsArbiterHops && !mState.mDraining;
+  if (!isArbiter && !actsAsArbiter) {
     mState.Forward(aPacket, ToPeer(*arbiter), PacketDirective::Route, 0, aOut);
     return;
   }
-  // The entry names a host that left or died, but that may have handed the flow
-  // on before.
+  // The entry names a host that left or died, but may have handed off the flow.
   bool hadOwner = mState.mDirectory.Find(aPacket.mFlow) != nullptr;
   bool isSettled = !hadOwner && mState.mViews.IsSettled(hash, aNow) &&
-                   !mAsker.HasSilentPeer(hash) &&
+                   !mLookups.HasUnresponsivePeer(hash) &&
                    FindPromise(aPacket.mFlow, aNow) == nullptr;
-  if (isSettled || !mState.mOptions.mGuards.mAsk) {
+  if (isSettled || !mState.mOptions.mGuards.mQueryPeers) {
     ++mState.mCounters[OwnershipCount::PlacedAtOnce];
     Place(aPacket.mFlow, { &aPacket, 1 }, aNow, aOut);
   } else {
-    StartAsking(aPacket, { aPacket.mFlow }, AskPurpose::Place, aNow, aOut);
+    StartLookup(aPacket, { aPacket.mFlow }, AskPurpose::Place, aNow, aOut);
   }
 }
 
 void Ownership::OnRequestStarted(const FlowKey& aFlow)
 {
   if (FlowTable::Entry* flow = mState.mFlows.Find(aFlow)) {
-    ++flow->mValue.mBusy;
+    ++flow->mValue.mActiveRequests;
   }
 }
 
@@ -297,28 +297,28 @@
   if (flow == nullptr) {
     return;
   }
-  flow->mValue.mBusy -= flow->mValue.mBusy > 0 ? 1 : 0;
+  flow->mValue.mActiveRequests -= flow->mValue.mActiveRequests > 0 ? 1 : 0;
   mState.mFlows.Touch(*flow, aNow);
   if (aAnswered) {
-    mState.mFlows.Keep(*flow);
+    mState.mFlows.Pin(*flow);
   }
   if (mState.mDraining && mState.mOptions.mGuards.mHandOff) {
-    mMover.Consider(*flow, aNow, aOut);
+    mMover.StartIfReady(*flow, aNow, aOut);
   }
 }
 
 void Ownership::Tick(Time aNow, OwnershipActions& aOut)
 {
   CheckLease(aNow, aOut);
-  std::vector<AskResult> ended;
-  mAsker.Tick(aNow, aOut, ended);
-  for (AskResult& it : ended) {
-    Settle(std::move(it), aNow, aOut);
+  std::vector<LookupResult> ended;
+  mLookups.Tick(aNow, aOut, ended);
+  for (LookupResult& it : ended) {
+    FinishLookup(std::move(it), aNow, aOut);
   }
   std::vector<FlowKey> unconfirmed;
   mMover.Tick(aNow, aOut, unconfirmed);
   for (const FlowKey& it : unconfirmed) {
-    StartConfirming(*mState.mFlows.Find(it), aNow, aOut);
+    StartReconfirmation(*mState.mFlows.Find(it), aNow, aOut);
   }
   ExpireTables(aNow, aOut);
   Sweep(aNow, aOut);
@@ -329,7 +329,7 @@
   const OwnershipOptions& options = mState.mOptions;
   mState.mFlows.Expire(
     aNow - options.mFlowIdle, aNow, [&](FlowTable::Entry& aFlow) {
-      bool isIdle = aFlow.mValue.mBusy == 0 && !aFlow.mValue.mMoving;
+      bool isIdle = aFlow.mValue.mActiveRequests == 0 && !aFlow.mValue.mMoving;
       if (isIdle) {
         ++mState.mCounters[OwnershipCount::FlowsExpired];
         aOut.push_back(DropFlow{ aFlow.mFlow, aFlow.mValue.mEpoch });
@@ -337,9 +337,9 @@
       return isIdle;
     });
   auto always = [](const auto&) { return true; };
-  mState.mDirectory.Expire(aNow - options.mDirectoryIdle, aNow, always);
-  mState.mMoved.Expire(aNow - options.mDirectoryIdle, aNow, always);
-  mState.mPromises.Expire(aNow - options.mSettle - options.mAskDeadline, aNow,
+  mState.mDirectory.Expire(aNow - options.mDirectoryIdleTimeout, aNow, always);
+  mState.mMoved.Expire(aNow - options.mDirectoryIdleTimeout, aNow, always);
+  mState.mPromises.Expire(aNow - options.mSettle - options.mQueryTimeout, aNow,
                           always);
   std::erase_if(mDecliners,
                 [&](const Decliner& aIt) { return aIt.mUntil <= aNow; });
@@ -349,23 +349,23 @@
 {
   const OwnershipOptions& options = mState.mOptions;
   std::size_t slots = mState.mFlows.Slots();
-  std::size_t confirms = options.mConfirmPerTick;
-  for (std::size_t n = std::min(slots, options.mSweepPerTick); n > 0; --n) {
-    mSweepAt = mSweepAt + 1 < slots ? mSweepAt + 1 : 0;
-    FlowTable::Entry* flow = mState.mFlows.At(mSweepAt);
+  std::size_t confirms = options.mMaxConfirmsPerTick;
+  for (std::size_t n = std::min(slots, options.mMaxSweptPerTick); n > 0; --n) {
+    mSweepSlot = mSweepSlot + 1 < slots ? mSweepSlot + 1 : 0;
+    FlowTable::Entry* flow = mState.mFlows.At(mSweepSlot);
     if (flow == nullptr) {
       continue;
     }
     if (!mState.IsConfirmed(flow->mValue)) {
       if (confirms > 0) {
         --confirms;
-        StartConfirming(*flow, aNow, aOut);
+        StartReconfirmation(*flow, aNow, aOut);
       }
       continue;
     }
-    mClaimer.Consider(*flow, aNow, aOut);
+    mClaimer.ClaimIfDue(*flow, aNow, aOut);
     if (mState.mDraining && options.mGuards.mHandOff) {
-      mMover.Consider(*flow, aNow, aOut);
+      mMover.StartIfReady(*flow, aNow, aOut);
     }
   }
   mClaimer.Flush(aOut);
--- a/src/steer/OwnershipActions.h
+++ b/src/steer/OwnershipActions.h
@@ -12,10 +12,10 @@
 
 namespace heatherplank {
 
-/** Names a packet that the driver keeps until an action settles it. */
+/** Identifies a packet that the driver holds until an action completes it. */
 using PacketToken = std::uint64_t;
 
-/** A packet from the tunnel as ownership sees it: its headers and a token. */
+/** The headers of a packet from the tunnel, and its token. */
 struct PacketEvent
 {
   PacketToken mToken = 0;
@@ -28,38 +28,40 @@
   FlowEpoch mEpoch = 0;
 };
 
-/** Why a packet was refused; the caller is told "not run" and when to come
- * back. Order matters: kOwnershipRefusals counts them.
+/** Why a packet was refused; the caller receives "not run" and a retry-after.
+ * The enumerators index OwnershipCounters::mRefusals; kOwnershipRefusals is
+ * their number.
  */
 enum class OwnershipRefusal : std::uint8_t
 {
-  /** The packet is for a service that is not this host's. */
+  /** The packet is for another service than this host's. */
   WrongService,
-  /** No host of the service may take a new flow. */
+  /** No host of the service may adopt a new flow. */
   NoCandidate,
   /** The flow table is full of established flows. */
   FlowTableFull,
-  /** Too many flows are being asked about. */
+  /** Too many lookups are in progress. */
   TooManyAsks,
-  /** More packets wait for one flow's owner than may be held. */
+  /** Too many packets already wait for the owner of the flow. */
   TooManyHeld,
-  /** A live host did not say whether it owns the flow. */
+  /** A live host did not reply whether it owns the flow. */
   PeerSilent,
-  /** A host that was just held dead may still own the flow. */
+  /** A host that was recently declared dead may still own the flow. */
   PeerFenced,
-  /** This agent's view is too old to decide on. */
+  /** This agent's view is too old for decisions. */
   ViewStale,
-  /** The packet went round between hosts that disagree. */
+  /** The packet was forwarded too often, between hosts whose views differ. */
   TooManyHops,
-  /** The flow is on its way to another host, which does not answer. */
+  /** The flow is being handed off to a host that does not reply, or was found
+   * to be owned by another host. */
   Moving,
 };
 constexpr std::size_t kOwnershipRefusals = 10;
 
-/** The name of a reason, as it stands in counters and answers. */
+/** The name of a reason in counters and replies. */
 std::string_view ToString(OwnershipRefusal aReason);
 
-/** Hand the packet to this host's admission: it owns the flow. */
+/** Pass the packet to this host's admission: it owns the flow. */
 struct DispatchPacket
 {
   PacketToken mToken = 0;
@@ -67,7 +69,7 @@
   FlowEpoch mEpoch = 0;
 };
 
-/** Send the packet on to another agent with these headers. */
+/** Forward the packet to another agent with these headers. */
 struct ForwardPacket
 {
   PacketToken mToken = 0;
@@ -78,8 +80,7 @@
   FlowEpoch mEpoch = 0;
 };
 
-/** Answer the packet's request at once: not run, come back after mRetryAfter.
- */
+/** Answer the packet's request at once: not run, retry after mRetryAfter. */
 struct RefusePacket
 {
   PacketToken mToken = 0;
@@ -95,8 +96,8 @@
   OwnershipMessage mMessage;
 };
 
-/** Put the flow's state into the HandOff and send it. Comes again if it must be
- * retried; the flow gets no packets meanwhile, so the state stands still.
+/** Put the flow's state into the HandOff and send it. Repeated on each retry;
+ * the flow gets no packets meanwhile, so its state does not change.
  */
 struct ExportFlow
 {
@@ -104,14 +105,14 @@
   HandOff mHandOff;
 };
 
-/** Take over the state of the HandOff that was just given to OnMessage. */
+/** Import the state of the HandOff that was just passed to OnMessage. */
 struct ImportFlow
 {
   FlowKey mFlow;
   FlowEpoch mEpoch = 0;
 };
 
-/** Free the flow's state; requests in progress end and are answered here. */
+/** Free the flow's state; requests in progress are still answered here. */
 struct DropFlow
 {
   FlowKey mFlow;
--- a/src/steer/OwnershipCounters.h
+++ b/src/steer/OwnershipCounters.h
@@ -9,32 +9,36 @@
 
 namespace heatherplank {
 
-/** What ownership counts besides refusals. */
+/** Counters of ownership other than refusals. */
 enum class OwnershipCount : std::uint8_t
 {
   PacketsDispatched,
   PacketsForwarded,
-  /** New flows placed without asking, and after it. */
+  /** New flows placed without a query, and after one. */
   PlacedAtOnce,
   PlacedAfterAsking,
-  /** Flows that this host adopted, and of these the ones for want of room in
-   * the directory. */
+  /** Flows that this host adopted. DirectoryFull: failures to add a directory
+   * entry because the directory was full. */
   Adopted,
   DirectoryFull,
-  /** Orders to adopt that this host turned down. */
+  /** Orders to adopt that this host declined. */
   AdoptDeclined,
+  /** Query rounds that were started; that ended because a live peer did not
+   * reply; that ended because a peer's concurrent query took precedence. */
   RoundsAsked,
   RoundsSilent,
   RoundsYielded,
+  /** Replies to queries of other agents. */
   AsksAnswered,
-  /** Asks that were not answered, since no promise could be kept. */
+  /** Promises that were not made because the table was full; the query or the
+   * hand-off got no reply. */
   PromisesFull,
-  /** Times that the trust in the view lapsed. */
+  /** Times that the lease expired. */
   Lapses,
-  /** Flows let go since another owner was found. */
+  /** Flows that were released because another host owns them. */
   FlowsLetGo,
   FlowsExpired,
-  /** Flows without an answer yet that made room for new ones. */
+  /** Flows that were never answered and were evicted for new ones. */
   FlowsEvicted,
   ClaimsSent,
   ClaimConflicts,
@@ -42,15 +46,15 @@
   HandOffsAccepted,
   HandOffsRefused,
   FlowsTakenOver,
-  /** Traces of moved flows that made room for newer ones. */
+  /** Records of moved flows that were evicted for newer ones. */
   MovedEvicted,
 };
 constexpr std::size_t kOwnershipCounts = 23;
 
-/** The name of a count, as it stands in metrics. */
+/** The name of a counter in metrics. */
 std::string_view ToString(OwnershipCount aCount);
 
-/** Counts since the start. Not thread safe. */
+/** Counter values since the start. Not thread safe. */
 struct OwnershipCounters
 {
   std::array<std::uint64_t, kOwnershipCounts> mCounts{};
--- a/src/steer/OwnershipMessageHandlers.cpp
+++ b/src/steer/OwnershipMessageHandlers.cpp
@@ -1,4 +1,4 @@
-// The part of Ownership that takes messages from other agents.
+// Handlers of Ownership for messages from other agents.
 
 #include <algorithm>
 #include <utility>
@@ -10,7 +10,7 @@
 
 namespace {
 
-/** Hosts that are remembered to have turned an adoption down. */
+/** Limit of recorded hosts that declined an order to adopt. */
 constexpr std::size_t kMaxDecliners = 64;
 
 template<typename... Fns>
@@ -31,11 +31,11 @@
                [&](const Ask& aIt) { OnAsk(aIt, aNow, aOut); },
                [&](const AskReply& aIt) {
                  mState.Observe(aIt.mEpoch);
-                 mAsker.HeardFrom(aIt.mFrom.mHost);
+                 mLookups.ClearUnresponsive(aIt.mFrom.mHost);
                  if (aIt.mRound == FlowClaimer::kVerifyRound) {
-                   mClaimer.OnVerified(aIt, aNow);
-                 } else if (auto ended = mAsker.OnReply(aIt, aNow, aOut)) {
-                   Settle(std::move(*ended), aNow, aOut);
+                   mClaimer.OnVerifyReply(aIt, aNow);
+                 } else if (auto ended = mLookups.OnReply(aIt, aNow, aOut)) {
+                   FinishLookup(std::move(*ended), aNow, aOut);
                  }
                },
                [&](const Claim& aIt) { OnClaim(aIt, aNow, aOut); },
@@ -54,8 +54,9 @@
 
 void Ownership::OnAsk(const Ask& aAsk, Time aNow, OwnershipActions& aOut)
 {
-  // Who is held dead here gets no answer: this host would not keep a promise to
-  // it. Once the views show it again, it asks again.
+  // A host that is declared dead in this view gets no reply, since this host
+  // would not honor a promise to it. It repeats the query, which is answered
+  // once the view shows it again.
   bool isSelf = aAsk.mFrom.mHost == mState.mSelf.mHost;
   if (isSelf || !IsLive(aAsk.mFrom, aNow)) {
     return;
@@ -64,11 +65,11 @@
   reply.mFlow = aAsk.mFlow;
   reply.mFrom = mState.mSelf;
   reply.mRound = aAsk.mRound;
-  // An ask that only verifies an entry must change nothing: a promise to its
-  // sender would replace one to an owner that lives.
+  // A query that only verifies a directory entry must not change state: a
+  // promise to its sender would replace one to a live owner.
   bool isAnswered = AnswerAsOwner(aAsk, reply, aNow, aOut) ||
                     aAsk.mRound == FlowClaimer::kVerifyRound ||
-                    AnswerAsRival(aAsk, reply, aNow, aOut) ||
+                    AnswerConcurrentQuery(aAsk, reply, aNow, aOut) ||
                     AnswerFromEntries(aAsk, reply, aNow) ||
                     Promise(aAsk.mFlow, aAsk.mFrom, aNow);
   if (isAnswered) {
@@ -84,13 +85,13 @@
   if (flow == nullptr) {
     return false;
   }
-  bool isSure = mState.IsConfirmed(flow->mValue);
-  bool isRival = !isSure && aAsk.mPurpose == AskPurpose::Reconfirm &&
-                 mAsker.IsAsking(aAsk.mFlow);
-  if (isRival) {
-    return AnswerAsRival(aAsk, aReply, aNow, aOut);
+  bool isConfirmed = mState.IsConfirmed(flow->mValue);
+  bool isConcurrent = !isConfirmed && aAsk.mPurpose == AskPurpose::Reconfirm &&
+                      mLookups.IsActive(aAsk.mFlow);
+  if (isConcurrent) {
+    return AnswerConcurrentQuery(aAsk, aReply, aNow, aOut);
   }
-  aReply.mVerdict = isSure ? AskVerdict::Owner : AskVerdict::Unconfirmed;
+  aReply.mVerdict = isConfirmed ? AskVerdict::Owner : AskVerdict::Unconfirmed;
   aReply.mOwner = mState.mSelf;
   aReply.mEpoch = flow->mValue.mEpoch;
   aReply.mMoves = flow->mValue.mMoves;
@@ -112,31 +113,31 @@
   bool isPromised =
     promise != nullptr && promise->mValue.mTo.mHost != aAsk.mFrom.mHost;
   if (isPromised) {
-    // Whoever it was promised to is asked too, and may pass the flow on.
+    // The sender queries the promised host too, which may name another owner.
     Peer first = promise->mValue.mTo;
     mState.mPromises.Touch(*promise, aNow);
     if (aAsk.mPurpose == AskPurpose::Reconfirm) {
-      // Who owned the flow goes before who wants to place it: an order to adopt
-      // from the latter must not be carried out unasked now.
+      // A former owner takes precedence over a host that places the flow: from
+      // now on, an order to adopt from the latter requires a query first.
       Promise(aAsk.mFlow, aAsk.mFrom, aNow);
     }
     aReply.mVerdict = known ? aReply.mVerdict : AskVerdict::Asking;
     aReply.mOwner = known ? aReply.mOwner : first;
     return true;
   }
-  // The asker may find that the entry is out of date, and place the flow.
+  // The sender may find that the entry is out of date, and place the flow.
   return known != nullptr && Promise(aAsk.mFlow, aAsk.mFrom, aNow);
 }
 
-bool Ownership::AnswerAsRival(const Ask& aAsk, AskReply& aReply, Time aNow,
-                              OwnershipActions& aOut)
+bool Ownership::AnswerConcurrentQuery(const Ask& aAsk, AskReply& aReply,
+                                      Time aNow, OwnershipActions& aOut)
 {
-  if (!mAsker.IsAsking(aAsk.mFlow)) {
+  if (!mLookups.IsActive(aAsk.mFlow)) {
     return false;
   }
-  auto ended = mAsker.OnRival(aAsk);
+  auto ended = mLookups.OnConcurrentQuery(aAsk);
   if (ended) {
-    Settle(std::move(*ended), aNow, aOut);
+    FinishLookup(std::move(*ended), aNow, aOut);
     return Promise(aAsk.mFlow, aAsk.mFrom, aNow);
   }
   aReply.mVerdict = AskVerdict::Asking;
@@ -149,8 +150,8 @@
   if (!mState.mOptions.mGuards.mPromise) {
     return true;
   }
-  // Without the promise, this host could adopt the flow a moment after it said
-  // that nobody owns it, and the asker would do the same.
+  // Without the promise, this host could adopt the flow right after its reply
+  // that no host owns it, while the sender of the query adopts it too.
   PromiseTable::Entry* entry = mState.mPromises.Put(aFlow, aNow);
   if (entry == nullptr) {
     ++mState.mCounters[OwnershipCount::PromisesFull];
@@ -168,41 +169,42 @@
   }
   ClaimAck ack{ mState.mSelf, {} };
   for (ClaimedFlow flow : aClaim.mFlows) {
-    if (TakeClaim(aClaim.mFrom, flow, aNow, aOut)) {
+    if (HandleClaim(aClaim.mFrom, flow, aNow, aOut)) {
       ack.mFlows.push_back(flow);
     }
   }
   aOut.push_back(SendMessage{ aClaim.mFrom.mTunnel, std::move(ack) });
 }
 
-bool Ownership::TakeClaim(const Peer& aFrom, ClaimedFlow& aClaimed, Time aNow,
-                          OwnershipActions& aOut)
+bool Ownership::HandleClaim(const Peer& aFrom, ClaimedFlow& aClaimed, Time aNow,
+                            OwnershipActions& aOut)
 {
   mState.Observe(aClaimed.mEpoch);
   FlowTable::Entry* flow = mState.mFlows.Find(aClaimed.mFlow);
   if (flow == nullptr) {
-    auto ended = mAsker.EndWithOwner(aClaimed.mFlow, aFrom, aClaimed.mEpoch,
-                                     aClaimed.mMoves);
-    bool isTaken = mClaimer.Take(aFrom, aClaimed, aNow, aOut);
+    auto ended = mLookups.EndWithOwner(aClaimed.mFlow, aFrom, aClaimed.mEpoch,
+                                       aClaimed.mMoves);
+    bool isTaken = mClaimer.HandleClaim(aFrom, aClaimed, aNow, aOut);
     if (ended) {
-      Settle(std::move(*ended), aNow, aOut);
+      FinishLookup(std::move(*ended), aNow, aOut);
     }
     return isTaken;
   }
-  // Either the new owner of a flow that is on its way there claims it before
-  // its answer to the hand-off came, or the flow was taken over during a lapse
-  // of this host: who claims a flow has confirmed it.
-  bool isSameLife = flow->mValue.mEpoch == aClaimed.mEpoch;
-  bool hasMoved = isSameLife && flow->mValue.mMoves < aClaimed.mMoves;
-  bool isUnsure = !isSameLife && !mState.IsConfirmed(flow->mValue);
-  aClaimed.mAccepted = hasMoved || isUnsure;
+  // The claim is accepted in two cases. Either the sender accepted a hand-off
+  // of the flow from this host, and its claim arrived before its reply. Or the
+  // sender took the flow over while this host's lease was expired: an owner
+  // claims only confirmed flows.
+  bool isSameEpoch = flow->mValue.mEpoch == aClaimed.mEpoch;
+  bool hasMoved = isSameEpoch && flow->mValue.mMoves < aClaimed.mMoves;
+  bool isUnconfirmed = !isSameEpoch && !mState.IsConfirmed(flow->mValue);
+  aClaimed.mAccepted = hasMoved || isUnconfirmed;
   if (aClaimed.mAccepted) {
-    AskResult owner;
+    LookupResult owner;
     owner.mFlow = aClaimed.mFlow;
     owner.mOwner = aFrom;
     owner.mEpoch = aClaimed.mEpoch;
     owner.mMoves = aClaimed.mMoves;
-    LetGo(*flow, owner, aNow, aOut);
+    ReleaseFlow(*flow, owner, aNow, aOut);
   } else {
     ++mState.mCounters[OwnershipCount::ClaimConflicts];
   }
@@ -220,7 +222,7 @@
     }
     if (!it.mAccepted) {
       ++mState.mCounters[OwnershipCount::FlowsLetGo];
-      auto ended = mAsker.EndWithOwner(it.mFlow, aAck.mFrom, 0, 0);
+      auto ended = mLookups.EndWithOwner(it.mFlow, aAck.mFrom, 0, 0);
       if (ended) {
         RefuseHeld(*ended, OwnershipRefusal::Moving,
                    mState.mOptions.mRetryAfter, aOut);
@@ -232,7 +234,7 @@
     const Member* arbiter = mState.mViews.Arbiter(HashFlow(it.mFlow));
     if (arbiter != nullptr && arbiter->mHost == aAck.mFrom.mHost &&
         arbiter->mIncarnation == aAck.mFrom.mIncarnation) {
-      flow->mValue.mClaimedIn = mState.mViews.Generation();
+      flow->mValue.mClaimedGeneration = mState.mViews.Generation();
       flow->mValue.mClaimedTo = arbiter->mHost;
     }
   }
@@ -259,17 +261,18 @@
 void Ownership::OnHandOff(const HandOff& aHandOff, Time aNow,
                           OwnershipActions& aOut)
 {
-  // A restart has none of what the sender counts on. Without an answer the
-  // sender keeps the flow until it knows.
-  bool isForThisStart = aHandOff.mToIncarnation == mState.mSelf.mIncarnation;
-  if (!isForThisStart || !IsLive(aHandOff.mFrom, aNow)) {
+  // A restarted host lacks the state that the sender relies on. Without a reply
+  // the sender retains the flow until its view shows the restart.
+  bool isForThisIncarnation =
+    aHandOff.mToIncarnation == mState.mSelf.mIncarnation;
+  if (!isForThisIncarnation || !IsLive(aHandOff.mFrom, aNow)) {
     return;
   }
   HandOffAck ack{ aHandOff.mFlow, mState.mSelf, aHandOff.mEpoch,
-                  aHandOff.mAttempt, TakeOver(aHandOff, aNow, aOut) };
+                  aHandOff.mAttempt, AcceptHandOff(aHandOff, aNow, aOut) };
   if (!ack.mAccepted) {
-    // The sender goes on to offer it to others, so a late copy of this offer
-    // must not be accepted.
+    // The sender then offers the flow to other hosts, so a late duplicate of
+    // this offer must not be accepted.
     if (!Promise(aHandOff.mFlow, aHandOff.mFrom, aNow)) {
       return;
     }
@@ -280,8 +283,8 @@
   aOut.push_back(SendMessage{ aHandOff.mFrom.mTunnel, ack });
 }
 
-bool Ownership::TakeOver(const HandOff& aHandOff, Time aNow,
-                         OwnershipActions& aOut)
+bool Ownership::AcceptHandOff(const HandOff& aHandOff, Time aNow,
+                              OwnershipActions& aOut)
 {
   const FlowKey& key = aHandOff.mFlow;
   if (FlowTable::Entry* flow = mState.mFlows.Find(key)) {
@@ -293,14 +296,15 @@
       ++mState.mCounters[OwnershipCount::ClaimConflicts];
       return false;
     }
-    // It is on its way to the sender, who has it by now and wants to be rid of
-    // it too; or it was taken over during a lapse of this host.
-    AskResult owner;
+    // Either this host was handing the flow off to the sender, which accepted
+    // and now hands it off in turn; or the sender took it over while this
+    // host's lease was expired.
+    LookupResult owner;
     owner.mFlow = key;
     owner.mOwner = aHandOff.mFrom;
     owner.mEpoch = aHandOff.mEpoch;
     owner.mMoves = static_cast<std::uint16_t>(aHandOff.mMoves - 1);
-    LetGo(*flow, owner, aNow, aOut);
+    ReleaseFlow(*flow, owner, aNow, aOut);
   }
   OwnerTable::Entry* moved = mState.mMoved.Find(key);
   if (moved != nullptr && moved->mValue.mEpoch == aHandOff.mEpoch &&
@@ -311,9 +315,10 @@
   bool wasRefused = promise != nullptr &&
                     promise->mValue.mTo.mHost == aHandOff.mFrom.mHost &&
                     promise->mValue.mAttempt >= aHandOff.mAttempt;
-  // An offer from before a lapse may have been made to another host since.
-  bool isUnsure = !MayDispatch(aNow) || mState.mViews.HadLapsed(aNow);
-  if (mState.mDraining || wasRefused || isUnsure) {
+  // After the lease expired, the offer may have been made to another host.
+  bool mayBeOutdated =
+    !MayDispatch(aNow) || mState.mViews.LeaseExpiredRecently(aNow);
+  if (mState.mDraining || wasRefused || mayBeOutdated) {
     return false;
   }
   FlowTable::Entry* flow =
@@ -323,13 +328,13 @@
   }
   ++mState.mCounters[OwnershipCount::FlowsTakenOver];
   if (aHandOff.mEstablished) {
-    mState.mFlows.Keep(*flow);
+    mState.mFlows.Pin(*flow);
   }
   aOut.push_back(ImportFlow{ key, aHandOff.mEpoch });
   auto ended =
-    mAsker.EndWithOwner(key, mState.mSelf, aHandOff.mEpoch, aHandOff.mMoves);
+    mLookups.EndWithOwner(key, mState.mSelf, aHandOff.mEpoch, aHandOff.mMoves);
   if (ended) {
-    Settle(std::move(*ended), aNow, aOut);
+    FinishLookup(std::move(*ended), aNow, aOut);
   }
   return true;
 }
@@ -342,7 +347,7 @@
     return nullptr;
   }
   const KnownOwner& known = entry->mValue;
-  bool isGone = mState.mViews.StatusOf(known.mOwner, known.mLearned, aNow) ==
+  bool isGone = mState.mViews.StatusOf(known.mOwner, known.mLearnedAt, aNow) ==
                 PeerStatus::Gone;
   return isGone ? nullptr : entry;
 }
@@ -354,7 +359,7 @@
     return nullptr;
   }
   const OwnershipOptions& options = mState.mOptions;
-  bool isOver = entry->mSeen + options.mSettle + options.mAskDeadline <= aNow;
+  bool isOver = entry->mSeen + options.mSettle + options.mQueryTimeout <= aNow;
   bool isGone = mState.mViews.StatusOf(entry->mValue.mTo, entry->mSeen, aNow) ==
                 PeerStatus::Gone;
   if (isOver || isGone) {
--- a/src/steer/OwnershipMessages.h
+++ b/src/steer/OwnershipMessages.h
@@ -10,7 +10,7 @@
 
 namespace heatherplank {
 
-/** An agent, as other agents reach it. */
+/** Identity and address of an agent, for messages between agents. */
 struct Peer
 {
   HostId mHost;
@@ -20,42 +20,43 @@
   auto operator<=>(const Peer&) const = default;
 };
 
-/** What an asker means to do if nobody owns the flow. */
+/** What the sender of a query does if no host owns the flow. */
 enum class AskPurpose : std::uint8_t
 {
-  /** Place a flow that it does not know. */
+  /** Places an unknown flow. */
   Place = 0,
-  /** Go on with a flow that it owned before it was paused or cut off. */
+  /** Resumes a flow that it owned before its lease expired. */
   Reconfirm = 1,
 };
 
-/** "Do you own this flow, or know who does?" */
+/** Queries an agent for the owner of a flow. */
 struct Ask
 {
   FlowKey mFlow;
   Peer mFrom;
-  /** Comes back in the answer; new for each round of asking. */
+  /** Identifies the query round; copied into the reply. */
   std::uint64_t mRound = 0;
   AskPurpose mPurpose = AskPurpose::Place;
-  /** With Reconfirm: the life that the asker owned. */
+  /** With Reconfirm: the epoch under which the sender owned the flow. */
   FlowEpoch mEpoch = 0;
 };
 
-/** What an asked agent knows of a flow. */
+/** What a queried agent knows of a flow. */
 enum class AskVerdict : std::uint8_t
 {
-  /** Knows no owner, and promises to send the flow to the asker for a while
-   * rather than to adopt it. */
+  /** Knows no owner. Promises to forward the flow to the sender of the query
+   * rather than adopt it, for a limited time. */
   Nobody = 0,
   /** mOwner owns it. */
   Owner = 1,
-  /** mOwner did, but was paused or cut off and has not confirmed it since. */
+  /** mOwner owned it, but its lease expired and it has not reconfirmed the flow
+   * since. */
   Unconfirmed = 2,
-  /** mOwner is asking, and was there first. */
+  /** mOwner queries for the flow too, and takes precedence. */
   Asking = 3,
 };
 
-/** The answer to an Ask. */
+/** The reply to an Ask. */
 struct AskReply
 {
   FlowKey mFlow;
@@ -65,43 +66,46 @@
   Peer mOwner;
   FlowEpoch mEpoch = 0;
   std::uint16_t mMoves = 0;
-  /** The owner was chosen a moment ago, and may not have heard of it yet. */
+  /** The owner was chosen recently and may not have been notified yet. */
   bool mJustPlaced = false;
 };
 
-/** A flow in a Claim or its answer. */
+/** A flow in a Claim or its acknowledgement. */
 struct ClaimedFlow
 {
   FlowKey mFlow;
   FlowEpoch mEpoch = 0;
-  /** Hand-offs since the flow's first adoption: of two claims for one life the
-   * one with more is the later. */
+  /** Hand-offs since the flow was adopted: of two claims for one epoch, the one
+   * with more moves is newer. */
   std::uint16_t mMoves = 0;
-  /** In an answer: false if another owner is known. */
+  /** In an acknowledgement: false if another owner is known. */
   bool mAccepted = false;
 
   auto operator<=>(const ClaimedFlow&) const = default;
 };
 
-/** Most flows in one Claim, so that it fits into a datagram. */
+/** Limit of flows in one Claim, so that it fits into a datagram. */
 constexpr std::size_t kMaxClaims = 16;
 
-/** "I own these flows", to the arbiter of all of them. */
+/** Notifies the arbiter of these flows that the sender owns them. */
 struct Claim
 {
   Peer mFrom;
   std::vector<ClaimedFlow> mFlows;
 };
 
-/** The answer to a Claim; a flow that is missing is claimed again later. */
+/** The acknowledgement of a Claim; the sender of the claim repeats it later for
+ * the flows that are missing here.
+ */
 struct ClaimAck
 {
   Peer mFrom;
   std::vector<ClaimedFlow> mFlows;
 };
 
-/** Who owns a flow, for a balancer's hint cache; or, with no owner, that the
- * sender does not own this life of it, for the arbiter that thought so.
+/** The owner of a flow, for a balancer's hint cache. Without an owner: a notice
+ * to an arbiter that the sender does not own the flow under this epoch, as the
+ * arbiter's directory states.
  */
 struct Hint
 {
@@ -109,7 +113,7 @@
   HostId mFrom;
   Peer mOwner;
   FlowEpoch mEpoch = 0;
-  /** The sender can't take new flows at present. */
+  /** The sender cannot adopt new flows at present. */
   bool mDeclines = false;
 };
 
@@ -118,18 +122,19 @@
 {
   FlowKey mFlow;
   Peer mFrom;
-  /** Refused by any other incarnation: a restart must not take it. */
+  /** The incarnation that may accept; any other one ignores the message. */
   Incarnation mToIncarnation = 0;
   FlowEpoch mEpoch = 0;
   std::uint16_t mMoves = 0;
   /** Counts the sender's attempts with this flow. */
   std::uint16_t mAttempt = 0;
   bool mEstablished = false;
-  /** What the driver keeps of the flow; opaque here. A view while decoded. */
+  /** The driver's state of the flow, opaque here. In a decoded message: a view
+   * of the message buffer. */
   ByteView mState;
 };
 
-/** The answer to a HandOff. */
+/** The reply to a HandOff. */
 struct HandOffAck
 {
   FlowKey mFlow;
--- a/src/steer/OwnershipRounds.cpp
+++ b/src/steer/OwnershipRounds.cpp
@@ -1,4 +1,4 @@
-// The part of Ownership that asks who owns a flow, and places flows.
+// Ownership: lookups of the owner of a flow, and placement of new flows.
 
 #include <span>
 #include <utility>
@@ -7,48 +7,50 @@
 
 namespace heatherplank {
 
-void Ownership::StartAsking(const PacketEvent& aPacket,
-                            const ClaimedFlow& aLife, AskPurpose aPurpose,
+void Ownership::StartLookup(const PacketEvent& aPacket,
+                            const ClaimedFlow& aClaimed, AskPurpose aPurpose,
                             Time aNow, OwnershipActions& aOut)
 {
-  if (mAsker.IsFull()) {
+  if (mLookups.IsFull()) {
     mState.Refuse(aPacket, OwnershipRefusal::TooManyAsks, aOut);
     return;
   }
   ++mState.mCounters[OwnershipCount::RoundsAsked];
   PromiseTable::Entry* promise = FindPromise(aPacket.mFlow, aNow);
-  const Peer* also = promise != nullptr ? &promise->mValue.mTo : nullptr;
-  auto ended = mAsker.Start(aLife, aPurpose, also, aNow, aOut);
+  const Peer* extraPeer = promise != nullptr ? &promise->mValue.mTo : nullptr;
+  auto ended = mLookups.Start(aClaimed, aPurpose, extraPeer, aNow, aOut);
   if (!ended) {
     Hold(aPacket, aOut);
     return;
   }
   ended->mHeld.push_back(aPacket);
-  Settle(std::move(*ended), aNow, aOut);
+  FinishLookup(std::move(*ended), aNow, aOut);
 }
 
-void Ownership::StartConfirming(FlowTable::Entry& aFlow, Time aNow,
-                                OwnershipActions& aOut)
+void Ownership::StartReconfirmation(FlowTable::Entry& aFlow, Time aNow,
+                                    OwnershipActions& aOut)
 {
-  if (mAsker.IsFull() || mAsker.IsAsking(aFlow.mFlow) || !MayDispatch(aNow)) {
+  if (mLookups.IsFull() || mLookups.IsActive(aFlow.mFlow) ||
+      !MayDispatch(aNow)) {
     return;
   }
   ++mState.mCounters[OwnershipCount::RoundsAsked];
-  auto ended = mAsker.Start(mState.Describe(aFlow), AskPurpose::Reconfirm,
-                            nullptr, aNow, aOut);
+  auto ended = mLookups.Start(mState.Describe(aFlow), AskPurpose::Reconfirm,
+                              nullptr, aNow, aOut);
   if (ended) {
-    Settle(std::move(*ended), aNow, aOut);
+    FinishLookup(std::move(*ended), aNow, aOut);
   }
 }
 
-void Ownership::Settle(AskResult aResult, Time aNow, OwnershipActions& aOut)
+void Ownership::FinishLookup(LookupResult aResult, Time aNow,
+                             OwnershipActions& aOut)
 {
   mState.Observe(aResult.mEpoch);
-  if (!mState.mOptions.mGuards.mSilentPeer &&
-      aResult.mOutcome == AskOutcome::Silent) {
-    aResult.mOutcome = AskOutcome::Nobody;
+  if (!mState.mOptions.mGuards.mUnresponsivePeer &&
+      aResult.mOutcome == LookupOutcome::Unresponsive) {
+    aResult.mOutcome = LookupOutcome::Nobody;
   }
-  if (aResult.mOutcome == AskOutcome::Silent) {
+  if (aResult.mOutcome == LookupOutcome::Unresponsive) {
     ++mState.mCounters[OwnershipCount::RoundsSilent];
     RefuseHeld(aResult, OwnershipRefusal::PeerSilent,
                mState.mOptions.mRetryAfter, aOut);
@@ -56,7 +58,7 @@
   }
   if (FlowTable::Entry* flow = mState.mFlows.Find(aResult.mFlow)) {
     if (aResult.mPurpose == AskPurpose::Reconfirm) {
-      SettleConfirm(aResult, *flow, aNow, aOut);
+      FinishReconfirmation(aResult, *flow, aNow, aOut);
       return;
     }
     for (const PacketEvent& it : aResult.mHeld) {
@@ -69,11 +71,11 @@
                aOut);
     return;
   }
-  if (aResult.mOutcome == AskOutcome::Nobody) {
-    SettleNobody(aResult, aNow, aOut);
+  if (aResult.mOutcome == LookupOutcome::Nobody) {
+    PlaceUnowned(aResult, aNow, aOut);
     return;
   }
-  if (aResult.mOutcome == AskOutcome::Yield) {
+  if (aResult.mOutcome == LookupOutcome::Yield) {
     ++mState.mCounters[OwnershipCount::RoundsYielded];
     Promise(aResult.mFlow, aResult.mOwner, aNow);
     for (const PacketEvent& it : aResult.mHeld) {
@@ -94,48 +96,50 @@
   }
 }
 
-void Ownership::SettleNobody(const AskResult& aResult, Time aNow,
+void Ownership::PlaceUnowned(const LookupResult& aResult, Time aNow,
                              OwnershipActions& aOut)
 {
-  Duration fence = mState.mViews.FenceLeft(HashFlow(aResult.mFlow), aNow);
+  Duration fence = mState.mViews.RemainingFence(HashFlow(aResult.mFlow), aNow);
   if (fence > Duration{}) {
     RefuseHeld(aResult, OwnershipRefusal::PeerFenced, fence, aOut);
     return;
   }
   ++mState.mCounters[OwnershipCount::PlacedAfterAsking];
-  ClaimedFlow life{ aResult.mFlow, aResult.mEpoch, aResult.mMoves, false };
-  if (life.mEpoch != 0 && !mState.mDraining) {
-    AdoptHere(life, mState.mSelf.mHost, aResult.mHeld, aNow, aOut);
+  ClaimedFlow claimed{ aResult.mFlow, aResult.mEpoch, aResult.mMoves, false };
+  if (claimed.mEpoch != 0 && !mState.mDraining) {
+    AdoptHere(claimed, mState.mSelf.mHost, aResult.mHeld, aNow, aOut);
   } else {
     Place(aResult.mFlow, aResult.mHeld, aNow, aOut);
   }
 }
 
-void Ownership::SettleConfirm(const AskResult& aResult, FlowTable::Entry& aFlow,
-                              Time aNow, OwnershipActions& aOut)
+void Ownership::FinishReconfirmation(const LookupResult& aResult,
+                                     FlowTable::Entry& aFlow, Time aNow,
+                                     OwnershipActions& aOut)
 {
-  if (aResult.mOutcome != AskOutcome::Nobody) {
-    LetGo(aFlow, aResult, aNow, aOut);
+  if (aResult.mOutcome != LookupOutcome::Nobody) {
+    ReleaseFlow(aFlow, aResult, aNow, aOut);
     return;
   }
-  Duration fence = mState.mViews.FenceLeft(HashFlow(aResult.mFlow), aNow);
+  Duration fence = mState.mViews.RemainingFence(HashFlow(aResult.mFlow), aNow);
   if (fence > Duration{}) {
     RefuseHeld(aResult, OwnershipRefusal::PeerFenced, fence, aOut);
     return;
   }
-  aFlow.mValue.mConfirmedIn = mState.mLapses;
+  aFlow.mValue.mConfirmedTerm = mState.mLeaseTerm;
   for (const PacketEvent& it : aResult.mHeld) {
     OnOwnedPacket(it, aFlow, aNow, aOut);
   }
 }
 
-void Ownership::LetGo(FlowTable::Entry& aFlow, const AskResult& aResult,
-                      Time aNow, OwnershipActions& aOut)
+void Ownership::ReleaseFlow(FlowTable::Entry& aFlow,
+                            const LookupResult& aResult, Time aNow,
+                            OwnershipActions& aOut)
 {
   ++mState.mCounters[OwnershipCount::FlowsLetGo];
-  // A round that goes on to confirm the flow would revive it.
-  auto ended = mAsker.EndWithOwner(aResult.mFlow, aResult.mOwner,
-                                   aResult.mEpoch, aResult.mMoves);
+  // A reconfirmation that is still in progress would revive the flow.
+  auto ended = mLookups.EndWithOwner(aResult.mFlow, aResult.mOwner,
+                                     aResult.mEpoch, aResult.mMoves);
   mState.RememberMove(aResult.mFlow, aResult.mOwner, aResult.mEpoch,
                       aResult.mMoves, aNow);
   mMover.Cancel(aResult.mFlow, aResult.mOwner, aResult.mEpoch, aOut);
@@ -150,8 +154,9 @@
   }
 }
 
-void Ownership::RefuseHeld(const AskResult& aResult, OwnershipRefusal aReason,
-                           Duration aRetryAfter, OwnershipActions& aOut)
+void Ownership::RefuseHeld(const LookupResult& aResult,
+                           OwnershipRefusal aReason, Duration aRetryAfter,
+                           OwnershipActions& aOut)
 {
   for (const PacketEvent& it : aResult.mHeld) {
     mState.Refuse(it, aReason, aRetryAfter, aOut);
@@ -161,13 +166,13 @@
 const Member* Ownership::PickOwner(std::uint64_t aFlowHash, Time aNow)
 {
   RankedMembers candidates = mState.mViews.Candidates(aFlowHash);
-  RankedMembers willing;
+  RankedMembers accepting;
   for (const Member* it : candidates) {
     if (!HasDeclined(it->mHost, aNow)) {
-      willing.push_back(it);
+      accepting.push_back(it);
     }
   }
-  const RankedMembers& from = willing.empty() ? candidates : willing;
+  const RankedMembers& from = accepting.empty() ? candidates : accepting;
   if (from.empty()) {
     return nullptr;
   }
@@ -198,7 +203,7 @@
   bool hasNoRoom = owner != nullptr && !isSelf;
   mState.mCounters[OwnershipCount::DirectoryFull] += hasNoRoom ? 1 : 0;
   if (owner != nullptr && !mState.mDraining) {
-    // A flow that the arbiter owns itself needs no entry.
+    // A flow that the arbiter owns itself needs no directory entry.
     FlowEpoch epoch = mState.NextEpoch(mState.mSelf, aNow);
     AdoptHere({ aFlow, epoch }, mState.mSelf.mHost, aPackets, aNow, aOut);
     return;
@@ -208,24 +213,24 @@
   }
 }
 
-void Ownership::AdoptHere(const ClaimedFlow& aLife, HostId aArbiter,
+void Ownership::AdoptHere(const ClaimedFlow& aClaimed, HostId aArbiter,
                           std::span<const PacketEvent> aPackets, Time aNow,
                           OwnershipActions& aOut)
 {
   FlowTable::Entry* flow =
-    mState.Adopt(aLife.mFlow, aLife.mEpoch, aLife.mMoves, aNow, aOut);
+    mState.Adopt(aClaimed.mFlow, aClaimed.mEpoch, aClaimed.mMoves, aNow, aOut);
   if (flow == nullptr) {
     for (const PacketEvent& it : aPackets) {
-      TellArbiter(it, true, aOut);
+      NotifyArbiter(it, true, aOut);
       mState.Refuse(it, OwnershipRefusal::FlowTableFull, aOut);
     }
     return;
   }
-  const Member* arbiter = mState.mViews.Arbiter(HashFlow(aLife.mFlow));
+  const Member* arbiter = mState.mViews.Arbiter(HashFlow(aClaimed.mFlow));
   if (arbiter != nullptr && arbiter->mHost == aArbiter) {
-    flow->mValue.mClaimedIn = mState.mViews.Generation();
+    flow->mValue.mClaimedGeneration = mState.mViews.Generation();
     flow->mValue.mClaimedTo = aArbiter;
-    flow->mValue.mClaimAt = aNow;
+    flow->mValue.mClaimedAt = aNow;
   }
   for (const PacketEvent& it : aPackets) {
     mState.Dispatch(it, *flow, aNow, aOut);
--- a/src/steer/OwnershipState.cpp
+++ b/src/steer/OwnershipState.cpp
@@ -6,10 +6,10 @@
 
 namespace {
 
-/** Low bits of an epoch that tell the owner's starts apart: one stale order in
- * half a million is mistaken for a present one. The rest counts units of 64
- * microseconds, which fit until the year 2041 and allow 15,625 new flows a
- * second for each shard.
+/** Low bits of an epoch that hash the owner's host and incarnation: one stale
+ * order to adopt in half a million (2^19) is mistaken for a current one. The
+ * other bits count units of 64 microseconds, which fit until the year 2041 and
+ * allow 15,625 new flows per second and shard.
  */
 constexpr int kEpochOwnerBits = 19;
 constexpr int kEpochUnitBits = 6;
@@ -20,8 +20,8 @@
   return hash & ((std::uint64_t{ 1 } << kEpochOwnerBits) - 1);
 }
 
-/** Busy flows that are passed over to find one to evict. */
-constexpr std::size_t kEvictionTries = 8;
+/** Limit of flows that are checked to find one to evict. */
+constexpr std::size_t kMaxEvictionTries = 8;
 
 } // namespace
 
@@ -56,7 +56,7 @@
   mLastStamp = std::max(mLastStamp, aEpoch >> kEpochOwnerBits);
 }
 
-bool OwnershipState::IsForThisStart(FlowEpoch aEpoch) const
+bool OwnershipState::IsForThisIncarnation(FlowEpoch aEpoch) const
 {
   std::uint64_t bits = aEpoch & ((std::uint64_t{ 1 } << kEpochOwnerBits) - 1);
   return !mOptions.mGuards.mIncarnation || bits == OwnerBits(mSelf);
@@ -67,14 +67,14 @@
   if (!mFlows.IsFull()) {
     return true;
   }
-  // A flood of flows that never got an answer pushes out its own kind only:
-  // flows with an answer are in the class that is not evicted.
-  for (std::size_t n = 0; n < kEvictionTries; ++n) {
+  // A flood of new flows evicts only flows that were never answered: answered
+  // ones are pinned.
+  for (std::size_t n = 0; n < kMaxEvictionTries; ++n) {
     FlowTable::Entry* oldest = mFlows.Oldest();
     if (oldest == nullptr) {
       return false;
     }
-    if (oldest->mValue.mBusy == 0 && !oldest->mValue.mMoving) {
+    if (oldest->mValue.mActiveRequests == 0 && !oldest->mValue.mMoving) {
       ++mCounters[OwnershipCount::FlowsEvicted];
       Drop(*oldest, aOut);
       return true;
@@ -94,7 +94,7 @@
   FlowTable::Entry* entry = mFlows.Insert(aFlow, aNow);
   entry->mValue.mEpoch = aEpoch;
   entry->mValue.mMoves = aMoves;
-  entry->mValue.mConfirmedIn = mLapses;
+  entry->mValue.mConfirmedTerm = mLeaseTerm;
   ++mCounters[OwnershipCount::Adopted];
   if (OwnerTable::Entry* moved = mMoved.Find(aFlow)) {
     mMoved.Erase(*moved);
@@ -159,8 +159,8 @@
   mFlows.Touch(aFlow, aNow);
   aOut.push_back(
     DispatchPacket{ aPacket.mToken, aFlow.mFlow, aFlow.mValue.mEpoch });
-  bool balancerKnows = aPacket.mDirective == PacketDirective::Deliver;
-  if (!balancerKnows && !aPacket.mHintTo.IsNone()) {
+  bool balancerHasHint = aPacket.mDirective == PacketDirective::Deliver;
+  if (!balancerHasHint && !aPacket.mHintTo.IsNone()) {
     aOut.push_back(
       SendMessage{ aPacket.mHintTo, Hint{ aFlow.mFlow, mSelf.mHost, mSelf } });
   }
--- a/src/steer/OwnershipState.h
+++ b/src/steer/OwnershipState.h
@@ -19,37 +19,37 @@
   FlowEpoch mEpoch = 0;
   /** The arbiter that last acknowledged a claim. */
   HostId mClaimedTo;
-  /** When it was last claimed. */
-  Time mClaimAt;
-  /** The view's generation that the last acknowledged claim was good for. */
-  std::uint32_t mClaimedIn = 0;
-  /** The lapse count that it was confirmed in. */
-  std::uint32_t mConfirmedIn = 0;
+  /** When a claim was last sent. */
+  Time mClaimedAt;
+  /** The view generation of the last acknowledged claim. */
+  std::uint32_t mClaimedGeneration = 0;
+  /** The lease term in which it was last confirmed. */
+  std::uint32_t mConfirmedTerm = 0;
   std::uint16_t mMoves = 0;
+  /** Hand-off attempts so far. */
   std::uint16_t mAttempt = 0;
-  /** Requests in progress. */
-  std::uint16_t mBusy = 0;
+  std::uint16_t mActiveRequests = 0;
   bool mMoving = false;
 };
 
-/** A flow that another host owns, as this one knows. */
+/** The owner of a flow that another host owns, as far as this one knows. */
 struct KnownOwner
 {
   Peer mOwner;
   FlowEpoch mEpoch = 0;
-  Time mLearned;
-  /** Until then the owner may not have heard that it was chosen. */
+  Time mLearnedAt;
+  /** Until then the owner may not have been notified that it was chosen. */
   Time mJustPlacedUntil;
-  /** When the owner last said so against another's claim. */
+  /** When the owner last confirmed its ownership after a conflicting claim. */
   Time mVerifiedAt;
   std::uint16_t mMoves = 0;
 };
 
-/** A flow that this host will send to another rather than adopt it. */
+/** A flow that this host forwards to another one rather than adopt it. */
 struct FlowPromise
 {
   Peer mTo;
-  /** The hand-off attempt that was refused, if that was the reason. */
+  /** The refused hand-off attempt, if a refusal was the reason; else 0. */
   std::uint16_t mAttempt = 0;
 };
 
@@ -57,52 +57,54 @@
 using OwnerTable = BoundedTable<KnownOwner>;
 using PromiseTable = BoundedTable<FlowPromise>;
 
-/** What the parts of Ownership share. Not thread safe. */
+/** State that Ownership, OwnerLookups, FlowClaimer and FlowMover share. Not
+ * thread safe.
+ */
 struct OwnershipState
 {
   OwnershipState(const Peer& aSelf, ServiceId aService, OwnerPolicy& aPolicy,
                  const OwnershipOptions& aOptions, Time aStart);
 
-  /** True if nothing can have been adopted elsewhere since the flow was
-   * adopted or confirmed here.
+  /** True if no other host can have adopted the flow since it was adopted or
+   * confirmed here.
    */
   bool IsConfirmed(const OwnedFlow& aFlow) const
   {
-    return !mHasLapsed && aFlow.mConfirmedIn == mLapses;
+    return !mLeaseExpired && aFlow.mConfirmedTerm == mLeaseTerm;
   }
 
-  /** The flow's life as this host knows it, for a message. */
+  /** The flow's epoch and moves as this host knows them, for a message. */
   ClaimedFlow Describe(const FlowTable::Entry& aFlow) const
   {
     return { aFlow.mFlow, aFlow.mValue.mEpoch, aFlow.mValue.mMoves, false };
   }
 
   /** A new epoch for a flow that aOwner is to own: larger than all that this
-   * host gave or heard of. It tells the owner's starts apart.
+   * host assigned or observed. It identifies the owner's incarnation.
    */
   FlowEpoch NextEpoch(const Peer& aOwner, Time aNow);
 
-  /** Notes an epoch that another host gave, so that later ones are larger
-   * whatever the hosts' clocks say.
+  /** Records an epoch that another host assigned, so that later ones are larger
+   * even if the hosts' clocks differ.
    */
   void Observe(FlowEpoch aEpoch);
 
-  /** True if an epoch was given for this start of this host. A restart must
-   * not go on with a life whose state it never had.
+  /** True if the epoch was assigned for this incarnation of this host. A
+   * restarted host must not resume a flow whose state it does not have.
    */
-  bool IsForThisStart(FlowEpoch aEpoch) const;
+  bool IsForThisIncarnation(FlowEpoch aEpoch) const;
 
-  /** Adds an owned flow; evicts one without answers to make room. Null if
-   * there is none. Precondition: the flow is not owned yet.
+  /** Adds an owned flow. If the table is full, evicts an idle flow that was
+   * never answered; null if none was found. Precondition: not owned yet.
    */
   FlowTable::Entry* Adopt(const FlowKey& aFlow, FlowEpoch aEpoch,
                           std::uint16_t aMoves, Time aNow,
                           OwnershipActions& aOut);
 
-  /** Forgets an owned flow and has the driver free its state. */
+  /** Removes an owned flow and has the driver free its state. */
   void Drop(FlowTable::Entry& aFlow, OwnershipActions& aOut);
 
-  /** Remembers where a flow went; the oldest trace makes room. */
+  /** Records the new owner of a flow; evicts the oldest record if full. */
   void RememberMove(const FlowKey& aFlow, const Peer& aTo, FlowEpoch aEpoch,
                     std::uint16_t aMoves, Time aNow);
 
@@ -122,16 +124,17 @@
   const OwnershipOptions mOptions;
   ViewHistory mViews;
   FlowTable mFlows;
-  /** As arbiter: who owns what. */
+  /** As arbiter: the owners of flows. */
   OwnerTable mDirectory;
-  /** As former owner: who owns it now. */
+  /** As former owner: the present owners of flows that moved. */
   OwnerTable mMoved;
   PromiseTable mPromises;
   OwnershipCounters mCounters;
-  /** Lapses of the view so far, by pauses and cuts; see IsConfirmed. */
-  std::uint32_t mLapses = 0;
-  /** The view is not trusted at present. */
-  bool mHasLapsed = false;
+  /** Incremented each time that an expired lease is regained; see IsConfirmed.
+   */
+  std::uint32_t mLeaseTerm = 0;
+  /** The lease has expired and is not regained yet: nothing is dispatched. */
+  bool mLeaseExpired = false;
   bool mDraining = false;
 
 private:
--- a/src/steer/RankTable.cpp
+++ b/src/steer/RankTable.cpp
@@ -10,25 +10,26 @@
 
 namespace {
 
-/** Buckets of a service up to kManyMembers, and above: tens of buckets a
- * member, so that arbiters share flows within a few tens of percent (owners
- * are balanced by policy, not by the table).
+/** Numbers of buckets up to kSmallTableMaxMembers members, and above. Tens of
+ * buckets per member balance the flows of arbiters within a few tens of percent
+ * (owners are balanced by policy, not by the table).
  */
-constexpr std::size_t kFewBuckets = 16384;
-constexpr std::size_t kManyBuckets = 65536;
-constexpr std::size_t kManyMembers = 1024;
-/** Points a bucket that are drawn at first: one bucket in a thousand then has
- * fewer than kRankDepth members, and more points are drawn. */
+constexpr std::size_t kSmallTableBuckets = 16384;
+constexpr std::size_t kLargeTableBuckets = 65536;
+constexpr std::size_t kSmallTableMaxMembers = 1024;
+/** Mean number of points per bucket that one pass draws. After the first pass,
+ * one bucket in a thousand has fewer than kRankDepth members, so another pass
+ * follows. */
 constexpr double kPointsPerBucket = 20;
 constexpr double kTwoTo64 = 18446744073709551616.0;
 
-/** An exponentially distributed number of mean 1. */
+/** Maps a hash to an exponentially distributed number with mean 1. */
 double Exponential(std::uint64_t aHash)
 {
   return -std::log((static_cast<double>(aHash) + 0.5) / kTwoTo64);
 }
 
-/** The points of one member's Poisson process, in the order of time. */
+/** Generates the points of one member's Poisson process in time order. */
 struct PointSource
 {
   std::uint64_t mHash = 0;
@@ -48,8 +49,8 @@
   }
 };
 
-/** Members of one bucket and their times while a table is filled. */
-struct OpenBucket
+/** The best members of one bucket and their times while a table is built. */
+struct BucketBuilder
 {
   std::array<double, kRankDepth> mTimes{};
   std::array<std::uint16_t, kRankDepth> mHosts{};
@@ -92,7 +93,7 @@
   auto differs = [this](const Host& aIt) {
     return aIt.mWeight != mHosts.front().mWeight;
   };
-  mSameWeights = std::none_of(mHosts.begin(), mHosts.end(), differs);
+  mHasEqualWeights = std::none_of(mHosts.begin(), mHosts.end(), differs);
   if (mHosts.size() > aScanLimit) {
     FillBuckets();
   }
@@ -101,10 +102,10 @@
 double RankTable::Draw(std::uint64_t aFlowHash, const Host& aHost) const
 {
   std::uint64_t hash = MixHash(aFlowHash, aHost.mHash);
-  // With one weight for all, the order of -log(u) / w is that of -u: the
-  // logarithm, most of the cost, is not needed.
-  return mSameWeights ? -static_cast<double>(hash)
-                      : Exponential(hash) / aHost.mWeight;
+  // With equal weights, -log(u) / w orders members as -u does, which saves the
+  // logarithm, most of the cost.
+  return mHasEqualWeights ? -static_cast<double>(hash)
+                          : Exponential(hash) / aHost.mWeight;
 }
 
 Ranks RankTable::Scan(std::uint64_t aFlowHash, std::size_t aCount,
@@ -156,16 +157,16 @@
 
 std::uint16_t RankTable::First(std::uint64_t aFlowHash) const
 {
-  if (!mBuckets.empty() || !mSameWeights) {
+  if (!mBuckets.empty() || !mHasEqualWeights) {
     Ranks best = BestAdoptable(aFlowHash, 1);
-    return best.empty() ? kNobody : best.front();
+    return best.empty() ? kNoMember : best.front();
   }
-  std::uint64_t most = 0;
-  std::uint16_t first = kNobody;
+  std::uint64_t highest = 0;
+  std::uint16_t first = kNoMember;
   for (const Host& it : mHosts) {
     std::uint64_t hash = MixHash(aFlowHash, it.mHash);
-    if (it.mAdoptable && (first == kNobody || hash > most)) {
-      most = hash;
+    if (it.mAdoptable && (first == kNoMember || hash > highest)) {
+      highest = hash;
       first = it.mMember;
     }
   }
@@ -206,13 +207,15 @@
       out.push_back(it);
     }
   }
-  // All of a bucket's members drain at once: rare enough to pay for a scan.
+  // All members of the bucket drain at once: rare enough for a scan.
   return out.empty() ? Scan(aFlowHash, aCount, true) : ToMembers(out);
 }
 
 void RankTable::FillBuckets()
 {
-  std::size_t count = mHosts.size() > kManyMembers ? kManyBuckets : kFewBuckets;
+  std::size_t count = mHosts.size() > kSmallTableMaxMembers
+                        ? kLargeTableBuckets
+                        : kSmallTableBuckets;
   double total = 0;
   std::vector<PointSource> sources;
   for (const Host& it : mHosts) {
@@ -220,8 +223,10 @@
     sources.push_back({ it.mHash, it.mWeight * static_cast<double>(count) });
     sources.back().Step();
   }
-  std::vector<OpenBucket> open(count);
-  auto isFull = [](const OpenBucket& aIt) { return aIt.mSize == kRankDepth; };
+  std::vector<BucketBuilder> open(count);
+  auto isFull = [](const BucketBuilder& aIt) {
+    return aIt.mSize == kRankDepth;
+  };
   double until = 0;
   do {
     until += kPointsPerBucket / total;
@@ -233,7 +238,7 @@
     }
   } while (!std::all_of(open.begin(), open.end(), isFull));
   mBuckets.reserve(count);
-  for (const OpenBucket& it : open) {
+  for (const BucketBuilder& it : open) {
     mBuckets.push_back(it.mHosts);
   }
 }
--- a/src/steer/ServiceView.cpp
+++ b/src/steer/ServiceView.cpp
@@ -64,7 +64,7 @@
 const Member* ServiceView::Arbiter(std::uint64_t aFlowHash) const
 {
   std::uint16_t first = mRanks.First(aFlowHash);
-  return first == RankTable::kNobody ? nullptr : &mMembers[first];
+  return first == RankTable::kNoMember ? nullptr : &mMembers[first];
 }
 
 std::size_t ServiceView::MemoryUse() const
--- a/src/steer/ServiceView.h
+++ b/src/steer/ServiceView.h
@@ -15,19 +15,19 @@
 
 namespace heatherplank {
 
-/** Hosts that a new flow may be placed on. */
+/** Default number of candidates for the placement of a new flow. */
 constexpr std::size_t kCandidates = 4;
 
-/** Members in the order of their rendezvous rank; valid as long as the view. */
+/** Members in rendezvous rank order; valid while the view exists. */
 using RankedMembers =
   boost::container::static_vector<const Member*, kRankDepth>;
 
-/** The live members of one service as one process sees them. Immutable, so
- * every method is thread safe; shared by reference count.
+/** The live members of one service as one process sees them. Immutable and
+ * thread safe; shared by reference count.
  *
- * The rank of a member for a flow depends on the flow, the member's name and
- * its weight alone. Two views that differ in some members therefore agree on
- * the order of those that they share.
+ * The rendezvous score of a member for a flow depends only on the flow, the
+ * member's host id and its weight. Two views with different members therefore
+ * agree on the order of the members that both contain.
  */
 class ServiceView
   : public boost::intrusive_ref_counter<ServiceView, boost::thread_safe_counter>
@@ -38,8 +38,8 @@
 
   ServiceId Service() const { return mService; }
 
-  /** Grows with each change that this process saw; not comparable between
-   * processes.
+  /** Increases with each change that this process received; not comparable
+   * between processes.
    */
   std::uint64_t Version() const { return mVersion; }
 
@@ -49,13 +49,14 @@
   /** The member of a host, or null. */
   const Member* Find(HostId aHost) const;
 
-  /** The best kRankDepth members that may own a flow, draining ones too: who
-   * to ask for it.
+  /** The best kRankDepth members that may own a flow, including draining ones:
+   * the members to query for its owner.
    */
   RankedMembers Ranked(std::uint64_t aFlowHash) const;
 
-  /** The best aCount members that may own a flow, however many: who to ask when
-   * the first ranks do not have it. Costs a scan of all members. */
+  /** The best aCount members that may own a flow, without the limit of
+   * kRankDepth: the members to query if those of Ranked do not own it. Scans
+   * all members. */
   std::vector<const Member*> RankedDeep(std::uint64_t aFlowHash,
                                         std::size_t aCount) const;
 
@@ -65,11 +66,12 @@
   RankedMembers Candidates(std::uint64_t aFlowHash,
                            std::size_t aCount = kCandidates) const;
 
-  /** The first of Candidates, or null: it places the flow's unknown packets.
+  /** The first of Candidates, or null if there is none. The arbiter places the
+   * flow if no host owns it.
    */
   const Member* Arbiter(std::uint64_t aFlowHash) const;
 
-  /** Bytes that the view holds, its members and table included. */
+  /** Bytes that the view uses, including its members and rank table. */
   std::size_t MemoryUse() const;
 
 private:
@@ -81,16 +83,16 @@
 
 using ServiceViewPtr = boost::intrusive_ptr<const ServiceView>;
 
-/** True if a member in this state may be given a new flow. */
+/** True if a member in this state may adopt a new flow. */
 inline bool CanAdopt(const Member& aMember)
 {
   return aMember.mState == HostState::Cold ||
          aMember.mState == HostState::Serving;
 }
 
-/** Makes a view of one service's members. A leaving member is found by name but
- * never ranked: it holds nothing, so nobody asks it. Precondition: at most
- * 65,535 members, no host twice, no weight of 0.
+/** Creates a view of one service's members. A leaving member is returned by
+ * Find but never ranked, since it owns no flow. Preconditions: at most 65,535
+ * members, no duplicate host, no weight of 0.
  */
 ServiceViewPtr MakeServiceView(ServiceId aService, std::uint64_t aVersion,
                                std::vector<Member> aMembers,
--- a/src/steer/Steering.cpp
+++ b/src/steer/Steering.cpp
@@ -25,9 +25,9 @@
   }
   if (auto hint = aHints.Find(aFlowHash)) {
     const Member* owner = aView->Find(hint->mHost);
-    // A restart at the same address holds none of the old flows, and a host
-    // that is leaving has handed its flows on: following a hint to either would
-    // lose the flow's packets for as long as the hint lives.
+    // A restarted host has none of its old flows, and a leaving host has handed
+    // off its flows. Following a hint to either would lose the flow's packets
+    // until the hint is replaced.
     if (owner != nullptr && owner->mIncarnation == hint->mIncarnation &&
         owner->mState != HostState::Leaving) {
       return SteerTarget{ owner, PacketDirective::Deliver };
--- a/src/steer/Steering.h
+++ b/src/steer/Steering.h
@@ -14,35 +14,35 @@
 
 namespace heatherplank {
 
-/** Why a balancer has no host for a packet. */
+/** Why a balancer does not forward a packet to a host. */
 enum class SteerRefusal : std::uint8_t
 {
   /** No service has the address that the packet is for. */
   UnknownService,
-  /** The service has no member that may take a new flow. */
+  /** The service has no member that may adopt a new flow. */
   NoMember,
-  /** The flow's host was not heard of for a moment: it may be paused. */
+  /** The flow's host is unresponsive for a short time: it may be stalled. */
   HostSilent,
 };
 
-/** The name of a reason, as it stands in counters and answers. */
+/** The name of a reason in counters and replies. */
 std::string_view ToString(SteerRefusal aReason);
 
-/** Where a packet goes. */
+/** The destination of a packet. */
 struct SteerTarget
 {
-  /** Valid as long as the view that was asked. */
+  /** Valid while the view that was passed to Steer exists. */
   const Member* mMember = nullptr;
-  /** Deliver to a host that a hint names as the owner, else Route. */
+  /** Deliver if a hint names the member as the owner, else Route. */
   PacketDirective mDirective = PacketDirective::Route;
 };
 
 using SteerDecision = std::variant<SteerTarget, SteerRefusal>;
 
-/** Chooses the host of a packet: the owner that a hint names, if that very
- * incarnation is in the view, or else the flow's arbiter. aView is null where
+/** Chooses the host for a packet: the owner that a hint names, if the view
+ * shows the same incarnation of it, else the flow's arbiter. aView is null if
  * no service has the address. Members of another service are never chosen.
- * Thread safe as far as aHints, which belongs to one shard, is.
+ * Thread safe if aHints is used by one thread at a time.
  */
 SteerDecision Steer(std::uint64_t aFlowHash, const ServiceView* aView,
                     HintCache& aHints);
--- a/src/steer/ViewHistory.cpp
+++ b/src/steer/ViewHistory.cpp
@@ -10,41 +10,42 @@
   : mSelf(aSelf)
   , mOptions(aOptions)
   , mConfirmedAt(aStart)
-  , mDistrustUntil(aStart + aOptions.mAskWindow)
-  , mLapseOver(aStart)
+  , mDistrustUntil(aStart + aOptions.mQueryWindow)
+  , mExpiryWindowEnd(aStart)
 {
 }
 
 void ViewHistory::OnView(ServiceViewPtr aView, Time aConfirmedAt, Time aNow)
 {
   mConfirmedAt = std::max(mConfirmedAt, aConfirmedAt);
-  Forget(aNow);
-  if (mHasView && aView->Version() <= mPresent->Version()) {
+  ForgetExpired(aNow);
+  if (mHasView && aView->Version() <= mCurrent->Version()) {
     return;
   }
   ++mGeneration;
   if (mHasView) {
-    mEarlier.push_back({ std::move(mPresent), aNow });
-  }
-  if (mEarlier.size() > kMaxEarlier) {
-    if (aNow - mEarlier.front().mUntil < mOptions.mSettle) {
-      // Views come faster than they settle. The one that is dropped may name an
-      // owner that no other does, so nothing is placed unasked for a while.
-      DistrustUntil(aNow + mOptions.mAskWindow);
+    mPastViews.push_back({ std::move(mCurrent), aNow });
+  }
+  if (mPastViews.size() > kMaxPastViews) {
+    if (aNow - mPastViews.front().mUntil < mOptions.mSettle) {
+      // Views arrive faster than they settle. The dropped one may rank an owner
+      // that no other view does, so flows are placed only after a query for the
+      // query window.
+      DistrustUntil(aNow + mOptions.mQueryWindow);
     }
-    mEarlier.erase(mEarlier.begin());
+    mPastViews.erase(mPastViews.begin());
   }
-  mPresent = std::move(aView);
+  mCurrent = std::move(aView);
   mHasView = true;
   const Member* self = Find(mSelf.mHost);
   mShowsSelf = self != nullptr && self->mIncarnation == mSelf.mIncarnation;
 }
 
-void ViewHistory::OnLapse(Time aNow)
+void ViewHistory::OnLeaseRegained(Time aNow)
 {
   ++mGeneration;
-  mLapseOver = aNow + mOptions.mSettle;
-  DistrustUntil(aNow + mOptions.mAskWindow);
+  mExpiryWindowEnd = aNow + mOptions.mSettle;
+  DistrustUntil(aNow + mOptions.mQueryWindow);
 }
 
 void ViewHistory::DistrustUntil(Time aUntil)
@@ -52,17 +53,17 @@
   mDistrustUntil = std::max(mDistrustUntil, aUntil);
 }
 
-void ViewHistory::Forget(Time aNow)
+void ViewHistory::ForgetExpired(Time aNow)
 {
-  auto isOld = [&](const Earlier& aIt) {
-    return aIt.mUntil + mOptions.mAskWindow <= aNow;
+  auto isOld = [&](const PastView& aIt) {
+    return aIt.mUntil + mOptions.mQueryWindow <= aNow;
   };
-  std::erase_if(mEarlier, isOld);
+  std::erase_if(mPastViews, isOld);
 }
 
 bool ViewHistory::IsFresh(Time aNow) const
 {
-  return mShowsSelf && aNow - mConfirmedAt <= mOptions.mViewTrust;
+  return mShowsSelf && aNow - mConfirmedAt <= mOptions.mViewTrustTimeout;
 }
 
 bool ViewHistory::IsSelf(const Member* aMember) const
@@ -75,11 +76,11 @@
   if (aNow < mDistrustUntil || !IsSelf(Arbiter(aFlowHash))) {
     return false;
   }
-  auto agrees = [&](const Earlier& aIt) {
-    return aIt.mUntil + mOptions.mAskWindow <= aNow ||
+  auto agrees = [&](const PastView& aIt) {
+    return aIt.mUntil + mOptions.mQueryWindow <= aNow ||
            IsSelf(aIt.mView->Arbiter(aFlowHash));
   };
-  return std::all_of(mEarlier.begin(), mEarlier.end(), agrees);
+  return std::all_of(mPastViews.begin(), mPastViews.end(), agrees);
 }
 
 RankedMembers ViewHistory::Candidates(std::uint64_t aFlowHash) const
@@ -87,7 +88,7 @@
   if (!mHasView) {
     return {};
   }
-  RankedMembers out = mPresent->Candidates(aFlowHash, kCandidates + 1);
+  RankedMembers out = mCurrent->Candidates(aFlowHash, kCandidates + 1);
   if (mDraining) {
     auto self = std::find_if(out.begin(), out.end(),
                              [this](const Member* aIt) { return IsSelf(aIt); });
@@ -106,7 +107,7 @@
   if (!mHasView) {
     return nullptr;
   }
-  const Member* best = mPresent->Arbiter(aFlowHash);
+  const Member* best = mCurrent->Arbiter(aFlowHash);
   if (!mDraining || !IsSelf(best)) {
     return best;
   }
@@ -114,7 +115,7 @@
   return others.empty() ? nullptr : others.front();
 }
 
-ViewHistory::Peers ViewHistory::WhoToAsk(std::uint64_t aFlowHash) const
+ViewHistory::Peers ViewHistory::PeersToQuery(std::uint64_t aFlowHash) const
 {
   Peers out;
   auto add = [&](const ServiceView& aView) {
@@ -131,9 +132,9 @@
     }
   };
   if (mHasView) {
-    add(*mPresent);
+    add(*mCurrent);
   }
-  for (auto it = mEarlier.rbegin(); it != mEarlier.rend(); ++it) {
+  for (auto it = mPastViews.rbegin(); it != mPastViews.rend(); ++it) {
     add(*it->mView);
   }
   return out;
@@ -144,19 +145,19 @@
   if (!mOptions.mGuards.mFence || Find(aHost) != nullptr) {
     return Time{};
   }
-  for (auto it = mEarlier.rbegin(); it != mEarlier.rend(); ++it) {
+  for (auto it = mPastViews.rbegin(); it != mPastViews.rend(); ++it) {
     if (const Member* last = it->mView->Find(aHost)) {
       bool left = last->mState == HostState::Leaving;
-      return left ? Time{} : it->mUntil + mOptions.mFence;
+      return left ? Time{} : it->mUntil + mOptions.mFenceDuration;
     }
   }
   return Time{};
 }
 
-Duration ViewHistory::FenceLeft(std::uint64_t aFlowHash, Time aNow) const
+Duration ViewHistory::RemainingFence(std::uint64_t aFlowHash, Time aNow) const
 {
   Duration left{};
-  for (const Earlier& earlier : mEarlier) {
+  for (const PastView& earlier : mPastViews) {
     for (const Member* it : earlier.mView->Ranked(aFlowHash)) {
       left = std::max(left, FenceEnd(it->mHost) - aNow);
     }
@@ -164,7 +165,7 @@
   return left;
 }
 
-PeerStatus ViewHistory::StatusOf(const Peer& aPeer, Time aLearned,
+PeerStatus ViewHistory::StatusOf(const Peer& aPeer, Time aLearnedAt,
                                  Time aNow) const
 {
   if (const Member* present = Find(aPeer.mHost)) {
@@ -176,17 +177,17 @@
   if (FenceEnd(aPeer.mHost) > aNow) {
     return PeerStatus::Fenced;
   }
-  auto had = [&](const Earlier& aIt) {
+  auto had = [&](const PastView& aIt) {
     return aIt.mView->Find(aPeer.mHost) != nullptr;
   };
-  bool wasThere = std::any_of(mEarlier.begin(), mEarlier.end(), had);
-  bool isNew = aNow < aLearned + mOptions.mSettle;
+  bool wasThere = std::any_of(mPastViews.begin(), mPastViews.end(), had);
+  bool isNew = aNow < aLearnedAt + mOptions.mSettle;
   return isNew && !wasThere ? PeerStatus::Live : PeerStatus::Gone;
 }
 
 const Member* ViewHistory::Find(HostId aHost) const
 {
-  return mHasView ? mPresent->Find(aHost) : nullptr;
+  return mHasView ? mCurrent->Find(aHost) : nullptr;
 }
 
 } // namespace heatherplank
--- a/src/steer/ViewHistory.h
+++ b/src/steer/ViewHistory.h
@@ -13,19 +13,19 @@
 
 namespace heatherplank {
 
-/** Whether another agent is still there, as far as this one's view says. */
+/** The status of another agent according to this one's views. */
 enum class PeerStatus : std::uint8_t
 {
-  /** In the view, or too new for it. */
+  /** In the view, or too new to be in it. */
   Live,
-  /** Held dead a moment ago: it may be paused, and still own flows. */
+  /** Declared dead recently: it may be stalled and still own flows. */
   Fenced,
-  /** Restarted, left, or held dead for long enough. */
+  /** Restarted, left, or declared dead longer than the fence ago. */
   Gone,
 };
 
-/** The present view of an agent's service and those of the last moments, which
- * other processes may still act on. Not thread safe.
+/** The current view of an agent's service and the recent ones, which other
+ * processes may still use. Not thread safe.
  */
 class ViewHistory
 {
@@ -36,90 +36,92 @@
   /** aOptions must outlive this. */
   ViewHistory(const Peer& aSelf, const OwnershipOptions& aOptions, Time aStart);
 
-  /** Takes a view, or the present one again. aConfirmedAt: when the exchange
-   * that brought it began, so that an answer that lay in a buffer during a
-   * pause does not count as fresh.
+  /** Takes a new view, or a confirmation of the current one. aConfirmedAt: when
+   * the request for it was sent, so that a reply that was buffered during a
+   * process stall does not count as fresh.
    */
   void OnView(ServiceViewPtr aView, Time aConfirmedAt, Time aNow);
 
-  /** Notes that the trust in the view had lapsed until aNow: this process was
-   * paused, or cut off.
+  /** Records that the lease, which had expired by a process stall or a network
+   * partition, is regained at aNow.
    */
-  void OnLapse(Time aNow);
+  void OnLeaseRegained(Time aNow);
 
-  /** No flow is placed without asking before aUntil. */
+  /** Until aUntil, flows are placed only after a query. */
   void DistrustUntil(Time aUntil);
 
-  /** This host no longer counts itself as a candidate. */
+  /** Excludes this host from Candidates. */
   void SetDraining() { mDraining = true; }
 
-  /** True if the view was confirmed a short while ago and shows this host.
-   * Others hold a host dead only after a longer silence, so while this is true
-   * nobody takes over what this host owns: it is the lease of an owner.
+  /** True if the view was confirmed within mViewTrustTimeout and shows this
+   * incarnation of this host. Other hosts declare a host dead only after a
+   * longer timeout, so no host takes over this host's flows while this is true:
+   * it is the lease of an owner.
    */
   bool IsFresh(Time aNow) const;
 
-  /** True if the trust in the view had lapsed so short ago that messages from
-   * that time may still come in.
+  /** True if an expired lease was regained so recently that messages from
+   * before may still arrive.
    */
-  bool HadLapsed(Time aNow) const { return aNow < mLapseOver; }
+  bool LeaseExpiredRecently(Time aNow) const { return aNow < mExpiryWindowEnd; }
 
-  /** True if this host was the flow's arbiter in every view of the ask window:
-   * whoever placed the flow was this agent.
+  /** True if this host was the flow's arbiter in every view of the query
+   * window: no other agent can have placed the flow.
    */
   bool IsSettled(std::uint64_t aFlowHash, Time aNow) const;
 
-  /** The flow's candidates, without this host once it drains. */
+  /** The flow's candidates, without this host while it drains. */
   RankedMembers Candidates(std::uint64_t aFlowHash) const;
 
   /** The first of Candidates, or null. */
   const Member* Arbiter(std::uint64_t aFlowHash) const;
 
-  /** Every other host that may own the flow by any view of the window. */
-  Peers WhoToAsk(std::uint64_t aFlowHash) const;
+  /** All other hosts that may own the flow according to any view of the query
+   * window, up to kMaxPeers. */
+  Peers PeersToQuery(std::uint64_t aFlowHash) const;
 
-  /** How long the flow must not be taken over yet, because a host that may own
-   * it was held dead only now.
+  /** How much longer the flow must not be taken over because a host that may
+   * own it was declared dead recently; 0 or less if it may be.
    */
-  Duration FenceLeft(std::uint64_t aFlowHash, Time aNow) const;
+  Duration RemainingFence(std::uint64_t aFlowHash, Time aNow) const;
 
-  /** What the views say of an agent that was heard of at aLearned. */
-  PeerStatus StatusOf(const Peer& aPeer, Time aLearned, Time aNow) const;
+  /** The status of an agent that became known at aLearnedAt. */
+  PeerStatus StatusOf(const Peer& aPeer, Time aLearnedAt, Time aNow) const;
 
-  /** The member of a host in the present view, or null. */
+  /** The member of a host in the current view, or null. */
   const Member* Find(HostId aHost) const;
 
-  /** Counts changes of the view and lapses. */
+  /** Incremented with each change of the view and each regained lease. */
   std::uint32_t Generation() const { return mGeneration; }
 
 private:
-  struct Earlier
+  struct PastView
   {
     ServiceViewPtr mView;
-    /** When the next one replaced it. */
+    /** When it was replaced by a newer one. */
     Time mUntil;
   };
-  static constexpr std::size_t kMaxEarlier = 8;
+  static constexpr std::size_t kMaxPastViews = 8;
 
-  void Forget(Time aNow);
+  void ForgetExpired(Time aNow);
   bool IsSelf(const Member* aMember) const;
-  /** The end of a host's fence: 0 if it has none. */
+  /** The end of a host's fence, or Time{} if it has none. */
   Time FenceEnd(HostId aHost) const;
 
   Peer mSelf;
   const OwnershipOptions& mOptions;
-  ServiceViewPtr mPresent;
-  std::vector<Earlier> mEarlier;
+  ServiceViewPtr mCurrent;
+  std::vector<PastView> mPastViews;
   Time mConfirmedAt;
   Time mDistrustUntil;
-  Time mLapseOver;
+  Time mExpiryWindowEnd;
   std::uint32_t mGeneration = 1;
   bool mHasView = false;
   bool mShowsSelf = false;
   bool mDraining = false;
 };
 
-/** The agent of a member. */
+/** Identity and address of a member's agent. */
 inline Peer ToPeer(const Member& aMember)
 {
   return { aMember.mHost, aMember.mIncarnation, aMember.mTunnel };
--- a/tests/HintCacheTest.cpp
+++ b/tests/HintCacheTest.cpp
@@ -6,7 +6,7 @@
 
 TEST_GROUP(HintCache){};
 
-TEST(HintCache, RemembersReplacesAndForgets)
+TEST(HintCache, StoresReplacesAndErasesHints)
 {
   HintCache cache(64);
   CHECK_FALSE(cache.Find(9).has_value());
@@ -20,8 +20,8 @@
 }
 
 // A flood of new flows passes through a balancer. The cache must not grow, and
-// a flow that is in use meanwhile keeps its hint.
-TEST(HintCache, StaysBoundedAndKeepsWhatIsInUse)
+// the hint of a flow that is in use must not be evicted.
+TEST(HintCache, AFloodOfFlowsNeitherGrowsTheCacheNorEvictsAUsedHint)
 {
   HintCache cache(1024);
   std::size_t before = cache.MemoryUse();
--- a/tests/OwnershipExplorationTest.cpp
+++ b/tests/OwnershipExplorationTest.cpp
@@ -17,15 +17,15 @@
 constexpr std::uint64_t kSchedules = 100000;
 constexpr std::uint64_t kPlannedSchedules = 10000;
 
-/** Plays schedules on several threads until aStop says so or they are over.
- */
+/** Runs aCount schedules on kThreads threads. aStopAtFirst: returns after the
+ * first violation. */
 WorldResult Explore(std::uint64_t aFrom, std::uint64_t aCount,
                     const WorldOptions& aOptions, bool aStopAtFirst = false)
 {
   std::atomic<std::uint64_t> next = aFrom;
   std::mutex lock;
   WorldResult sum;
-  auto play = [&] {
+  auto runSchedules = [&] {
     for (std::uint64_t seed = next++; seed < aFrom + aCount; seed = next++) {
       WorldResult result = OwnershipWorld(seed, aOptions).Run();
       std::lock_guard guard(lock);
@@ -42,7 +42,7 @@
   std::vector<std::thread> threads;
   threads.reserve(kThreads);
   for (int i = 0; i < kThreads; ++i) {
-    threads.emplace_back(play);
+    threads.emplace_back(runSchedules);
   }
   for (auto& it : threads) {
     it.join();
@@ -54,7 +54,7 @@
 {
   const char* mName;
   bool OwnershipGuards::*mGuard;
-  /** A schedule that fails without the guard; the search begins there. */
+  /** The first schedule of the search; it fails without the guard. */
   std::uint64_t mSeed;
 };
 
@@ -62,12 +62,12 @@
 
 TEST_GROUP(OwnershipExploration){};
 
-// Hosts drain, join, die and freeze, views reach processes late and in another
-// order, packets and messages are lost, late, doubled and reordered, agents are
-// cut off from each other, all at once and by chance. A caller must never see
-// its established flow answered by another life while the owner lives, no two
-// hosts may run requests of one flow, a draining host adopts nothing after 2 s,
-// and every packet is dispatched or refused within a second.
+// Random combinations of faults: hosts drain, join, die and stall; views arrive
+// late and out of order; packets and messages are lost, delayed, duplicated and
+// reordered; agents are partitioned. An established flow must not be answered
+// under another epoch while its owner is live, no two hosts may run requests of
+// one flow, a host must not adopt a flow 2 s after it began to drain, and every
+// packet must be dispatched or refused within a second.
 TEST(OwnershipExploration, NoScheduleBreaksARule)
 {
   WorldResult sum = Explore(0, kSchedules, {});
@@ -75,7 +75,8 @@
   CHECK_TRUE(sum.mDispatched > 50 * kSchedules);
 }
 
-// Schedules that found a fault while the rules were made, beyond those above.
+// Regression test: schedules outside the range above that found a fault during
+// development.
 TEST(OwnershipExploration, SchedulesThatOnceFailedPass)
 {
   for (std::uint64_t seed : { 109291,  111033,  112556,  116907,  124451,
@@ -83,25 +84,26 @@
                               259398,  265647,  284983,  285045,  287750,
                               293731,  1031361, 1077770, 1112212, 1193797,
                               1253241, 1257738, 2126658, 2283702 }) {
-    for (bool cuts : { false, true }) {
+    for (bool partitions : { false, true }) {
       WorldOptions options;
-      options.mCuts = cuts;
+      options.mPartitionsEnabled = partitions;
       CHECK_EQUAL(0, OwnershipWorld(seed, options).Run().Total());
     }
   }
 }
 
-// Each guard is switched off in turn; if no schedule failed then, it would
-// guard against nothing, or the exploration would be blind to it.
+// Each guard is switched off in turn, and some schedule must then fail.
+// Otherwise the guard has no effect, or the exploration cannot detect its
+// failure.
 TEST(OwnershipExploration, EachGuardIsNeeded)
 {
   const std::vector<GuardCase> cases{
-    { "ask", &OwnershipGuards::mAsk, 1 },
+    { "query peers", &OwnershipGuards::mQueryPeers, 1 },
     { "promise", &OwnershipGuards::mPromise, 2700 },
     { "lease", &OwnershipGuards::mLease, 69 },
     { "fence", &OwnershipGuards::mFence, 473 },
     { "claim", &OwnershipGuards::mClaim, 5437 },
-    { "silent peer", &OwnershipGuards::mSilentPeer, 141 },
+    { "unresponsive peer", &OwnershipGuards::mUnresponsivePeer, 141 },
     { "incarnation", &OwnershipGuards::mIncarnation, 70 },
     { "hand-off", &OwnershipGuards::mHandOff, 111 },
   };
@@ -114,8 +116,8 @@
   }
 }
 
-// Hosts drain and join and balancers are replaced, nothing else. Without
-// ownership a flow breaks as soon as a packet of it reaches another host.
+// Hosts drain and join and balancers are replaced, without other faults.
+// Without ownership a flow breaks when one of its packets reaches another host.
 TEST(OwnershipExploration, PlannedChangesBreakNoFlow)
 {
   WorldOptions options;
--- a/tests/OwnershipTest.cpp
+++ b/tests/OwnershipTest.cpp
@@ -26,7 +26,7 @@
   std::size_t mRank;
 };
 
-/** One agent, its clock, and the actions of the last event. */
+/** One agent with its clock and the actions of the last event. */
 struct Agent
 {
   explicit Agent(std::size_t aHosts, const OwnershipOptions& aOptions = {},
@@ -36,20 +36,20 @@
     , mOwnership(ToPeer(mMembers[0]), MakeServiceId("agenda"), mPolicy,
                  aOptions, mNow)
   {
-    See(1);
+    ReceiveView(1);
   }
 
-  void See(std::uint64_t aVersion)
+  void ReceiveView(std::uint64_t aVersion)
   {
     mActions.clear();
     mOwnership.OnView(TestView(aVersion, mMembers), mNow, mNow, mActions);
   }
 
-  /** Lets time pass with the heartbeats that keep the view trusted. */
-  void Pass(Duration aTime, std::uint64_t aVersion = 1)
+  /** Advances the clock, with the heartbeats that renew the lease. */
+  void AdvanceClock(Duration aDuration, std::uint64_t aVersion = 1)
   {
-    for (Time end = mNow + aTime; mNow < end; mNow += 100ms) {
-      See(aVersion);
+    for (Time end = mNow + aDuration; mNow < end; mNow += 100ms) {
+      ReceiveView(aVersion);
       mOwnership.Tick(mNow, mActions);
     }
   }
@@ -103,18 +103,19 @@
 
 TEST_GROUP(Ownership){};
 
-TEST(Ownership, PlacesANewFlowAtOnceWhenViewsHaveSettled)
+TEST(Ownership, PlacesANewFlowWithoutAQueryWhenViewsHaveSettled)
 {
   Agent agent(4);
-  agent.Pass(31s);
+  agent.AdvanceClock(31s);
   agent.Send<DispatchPacket>(agent.PortOf(0));
   CHECK_EQUAL(1, agent.mOwnership.FlowCount());
 }
 
-// A host of the service does not answer, though it is alive in the view. It may
-// own the flow, so the request is refused within the ask deadline; and since
-// its claims may be lost like its answers, nothing is placed unasked later.
-TEST(Ownership, AsksWhileViewsSettleAndRefusesOnSilence)
+// A host of the service is unresponsive, though it is live in the view. It may
+// own the flow, so the request is refused after mQueryTimeout. Since its claims
+// may be lost like its replies, flows are placed only after a query even when
+// views have settled.
+TEST(Ownership, RefusesAFlowWhosePossibleOwnerIsUnresponsive)
 {
   Agent agent(4);
   std::uint16_t port = agent.PortOf(0);
@@ -125,7 +126,7 @@
   agent.mOwnership.Tick(agent.mNow, agent.mActions);
   CHECK_TRUE(agent.Last<RefusePacket>().mReason ==
              OwnershipRefusal::PeerSilent);
-  agent.Pass(31s);
+  agent.AdvanceClock(31s);
   CHECK_TRUE(
     std::holds_alternative<Ask>(agent.Send<SendMessage>(port).mMessage));
 }
@@ -133,20 +134,20 @@
 TEST(Ownership, ForwardsToTheArbiter)
 {
   Agent agent(4);
-  agent.Pass(31s);
+  agent.AdvanceClock(31s);
   auto forward = agent.Send<ForwardPacket>(agent.PortOf(2));
   CHECK_TRUE(forward.mTo.mHost == agent.mMembers[2].mHost);
   CHECK_EQUAL(1, forward.mHops);
   CHECK_EQUAL(0, agent.mOwnership.FlowCount());
 }
 
-// A packet of another service reaches the agent, since its address moved while
-// the packet was on its way. Delivering it would show one service's answers to
-// another's callers.
+// A packet of another service reaches the agent, because an address moved while
+// the packet was in flight. Dispatching it would send answers of one service to
+// callers of another.
 TEST(Ownership, RefusesAnotherServicesPackets)
 {
   Agent agent(1);
-  agent.Pass(31s);
+  agent.AdvanceClock(31s);
   PacketEvent packet;
   packet.mFlow = TestFlow(1);
   packet.mService = MakeServiceId("catalogo");
@@ -156,15 +157,15 @@
              OwnershipRefusal::WrongService);
 }
 
-// Somebody opens flows without end. Each takes room in the flow table; were the
-// oldest to make room, the flows of boat owners at work would be lost. Flows
-// that were answered stay, and the flood is refused and counted.
-TEST(Ownership, AFloodOfFlowsPushesOutNoEstablishedOne)
+// A flood of new flows fills the flow table. Evicting the least recently used
+// entry would drop established flows of other callers, so only flows that were
+// never answered are evicted, and the evictions are counted.
+TEST(Ownership, AFloodOfNewFlowsEvictsNoEstablishedFlow)
 {
   OwnershipOptions options;
   options.mMaxFlows = 100;
   Agent agent(1, options);
-  agent.Pass(31s);
+  agent.AdvanceClock(31s);
   for (std::uint16_t port = 0; port < 60; ++port) {
     agent.Send<DispatchPacket>(port);
     agent.mOwnership.OnRequestStarted(TestFlow(port));
@@ -190,7 +191,7 @@
   OwnershipOptions options;
   options.mMaxFlows = 10;
   Agent agent(1, options);
-  agent.Pass(31s);
+  agent.AdvanceClock(31s);
   for (std::uint16_t port = 0; port < 10; ++port) {
     agent.Send<DispatchPacket>(port);
     agent.mOwnership.OnRequestEnded(TestFlow(port), true, agent.mNow,
@@ -198,42 +199,44 @@
   }
   CHECK_TRUE(agent.Send<RefusePacket>(77).mReason ==
              OwnershipRefusal::FlowTableFull);
-  agent.Pass(130s);
+  agent.AdvanceClock(130s);
   CHECK_EQUAL(0, agent.mOwnership.FlowCount());
   agent.Send<DispatchPacket>(77);
 }
 
-// An agent is frozen for longer than others wait before they hold it dead, and
-// wakes: its flows may be another host's by now, so it must ask first.
-TEST(Ownership, AsksBeforeItDispatchesAfterALapse)
+// An agent is stalled for longer than the timeout after which it is declared
+// dead. When it resumes, other hosts may own its flows, so it must query them
+// before it dispatches.
+TEST(Ownership, ReconfirmsAFlowBeforeDispatchAfterTheLeaseExpired)
 {
   Agent agent(3);
-  agent.Pass(31s);
+  agent.AdvanceClock(31s);
   std::uint16_t port = agent.PortOf(0);
   agent.Send<DispatchPacket>(port);
   agent.mNow += 5s;
   CHECK_TRUE(agent.Send<RefusePacket>(port).mReason ==
              OwnershipRefusal::ViewStale);
-  agent.See(1);
+  agent.ReceiveView(1);
   auto ask = std::get<Ask>(agent.Send<SendMessage>(port).mMessage);
   CHECK_TRUE(ask.mPurpose == AskPurpose::Reconfirm);
 }
 
-// An arbiter gave a flow to another host, where it expired long ago; meanwhile
-// the flow may live elsewhere. Were the order to adopt repeated, the old life
-// would begin anew beside the present one. With the guard off it is.
-TEST(Ownership, OrdersToAdoptOnlyAtFirst)
+// An arbiter placed a flow on another host, where it expired; meanwhile the
+// flow may be established elsewhere. Repeating the order to adopt would revive
+// the old epoch beside the current one. Without the guard the order is
+// repeated.
+TEST(Ownership, RepeatsAnOrderToAdoptOnlyWhileTheEntryIsNew)
 {
   for (bool guard : { false, true }) {
     OwnershipOptions options;
-    options.mGuards.mOldEntry = guard;
+    options.mGuards.mStaleEntry = guard;
     Agent agent(3, options, 1);
-    agent.Pass(31s);
+    agent.AdvanceClock(31s);
     std::uint16_t port = agent.PortOf(0);
     auto first = agent.Send<ForwardPacket>(port);
     CHECK_TRUE(first.mDirective == PacketDirective::Adopt);
     CHECK_TRUE(agent.Send<ForwardPacket>(port).mEpoch == first.mEpoch);
-    agent.Pass(4s);
+    agent.AdvanceClock(4s);
     auto later = agent.Send<ForwardPacket>(port);
     CHECK_EQUAL(first.mEpoch, later.mEpoch);
     CHECK_TRUE((later.mDirective == PacketDirective::Deliver) == guard);
@@ -243,7 +246,7 @@
 TEST(Ownership, ADrainingHostAdoptsNothing)
 {
   Agent agent(3);
-  agent.Pass(31s);
+  agent.AdvanceClock(31s);
   agent.mOwnership.Drain(agent.mNow, agent.mActions);
   for (std::uint16_t port = 0; port < 200; ++port) {
     agent.Send<ForwardPacket>(port);
--- a/tests/OwnershipWorld.cpp
+++ b/tests/OwnershipWorld.cpp
@@ -13,16 +13,17 @@
 
 namespace {
 
-/** Views reach every process within this; less than the settle window. */
-constexpr std::uint64_t kMostViewDelayMs = 1000;
-/** Silence after which a host is held dead; more than the view trust. */
-constexpr Duration kDeathAfter = 3s;
-/** Faults come in this time, calm follows. */
-constexpr Duration kFaultTime = 6s;
-constexpr Duration kCalmTime = 8s;
+/** Maximum delay until a view reaches a process; less than mSettle. */
+constexpr std::uint64_t kMaxViewDelayMs = 1000;
+/** Time without a heartbeat after which a host is declared dead; more than
+ * mViewTrustTimeout. */
+constexpr Duration kDeathTimeout = 3s;
+/** Faults are injected for kFaultDuration, then none for kCalmDuration. */
+constexpr Duration kFaultDuration = 6s;
+constexpr Duration kCalmDuration = 8s;
 constexpr std::uint16_t kBalancerPort = 1000;
 
-/** Spreads owners over the candidates, so that owner and arbiter differ. */
+/** Distributes owners over the candidates, so that owner and arbiter differ. */
 class SpreadPolicy final : public OwnerPolicy
 {
 public:
@@ -60,14 +61,14 @@
   , mPolicy(std::make_unique<SpreadPolicy>())
 {
   mRules.mGuards = aOptions.mGuards;
-  // Longer than any fault lasts here, and short enough to end within the run.
-  mRules.mAskWindow = 8s;
+  // Longer than any fault, and short enough to end within the run.
+  mRules.mQueryWindow = 8s;
   mRules.mMaxFlows = 16;
   mRules.mMaxDirectory = 16;
   mRules.mMaxMoved = 16;
   mRules.mMaxPromises = 16;
-  mRules.mMaxAsks = 16;
-  mRules.mMaxMoving = 8;
+  mRules.mMaxLookups = 16;
+  mRules.mMaxHandOffs = 8;
   mAgents.reserve(32);
 }
 
@@ -76,7 +77,7 @@
   return std::chrono::milliseconds(aFrom + Draw(aTo - aFrom + 1));
 }
 
-void OwnershipWorld::After(Duration aDelay, Step aStep)
+void OwnershipWorld::Schedule(Duration aDelay, Step aStep)
 {
   mEvents.push({ mNow + aDelay, mOrder++, std::move(aStep) });
 }
@@ -93,8 +94,8 @@
         .count()) +
     400000 * aSlot;
   agent.mAlive = true;
-  agent.mLastHeard = mNow;
-  // Those of the beginning have run for long.
+  agent.mLastHeartbeat = mNow;
+  // The initial agents count as started 10 s ago.
   bool isFirst = mVersion == 0;
   agent.mOwnership =
     std::make_unique<Ownership>(ToPeer(agent.mMember), agent.mMember.mService,
@@ -103,8 +104,8 @@
   int index = static_cast<int>(mAgents.size()) - 1;
   mCurrent.resize(std::max(mCurrent.size(), aSlot + 1));
   mCurrent[aSlot] = index;
-  After(DrawMs(0, 50), [this, index] { Tick(index); });
-  After(DrawMs(0, isFirst ? 0 : 100), [this, index] { Heartbeat(index); });
+  Schedule(DrawMs(0, 50), [this, index] { Tick(index); });
+  Schedule(DrawMs(0, isFirst ? 0 : 100), [this, index] { Heartbeat(index); });
   return index;
 }
 
@@ -132,16 +133,16 @@
   aStep();
 }
 
-void OwnershipWorld::Network(int aFrom, int aTo, const Step& aStep)
+void OwnershipWorld::SendOverNetwork(int aFrom, int aTo, const Step& aStep)
 {
-  bool isCut = mCut.contains(std::minmax(aFrom, aTo));
-  if (isCut || (!mCalm && Chance(mLossPercent))) {
+  bool isPartitioned = mPartitions.contains(std::minmax(aFrom, aTo));
+  if (isPartitioned || (!mFaultsEnded && Chance(mLossPercent))) {
     return;
   }
-  int copies = !mCalm && !mOptions.mPlannedOnly && Chance(5) ? 2 : 1;
+  int copies = !mFaultsEnded && !mOptions.mPlannedOnly && Chance(5) ? 2 : 1;
   for (int i = 0; i < copies; ++i) {
-    bool isLate = !mCalm && Chance(5);
-    After(isLate ? DrawMs(5, 300) : DrawMs(0, 3), aStep);
+    bool isLate = !mFaultsEnded && Chance(5);
+    Schedule(isLate ? DrawMs(5, 300) : DrawMs(0, 3), aStep);
   }
 }
 
@@ -150,14 +151,15 @@
   return mCurrent[aAddress.mPort - 1];
 }
 
-/** Spreads the members as they are now; each process gets them in its time. */
+/** Sends the current members as a view to every process, each with its own
+ * delay. */
 void OwnershipWorld::Publish()
 {
   std::vector<Member> members;
   for (std::size_t i = 0; i < mAgents.size(); ++i) {
     const Agent& it = mAgents[i];
     bool isLatest = AgentAt(it.mMember.mTunnel) == static_cast<int>(i);
-    if (isLatest && !it.mIsHeldDead) {
+    if (isLatest && !it.mIsDeclaredDead) {
       members.push_back(it.mMember);
     }
   }
@@ -168,14 +170,14 @@
     }
   };
   for (std::size_t i = 0; i < mAgents.size(); ++i) {
-    Duration delay = mVersion == 1 ? 0ms : DrawMs(0, kMostViewDelayMs);
-    After(delay, [this, i, take] {
+    Duration delay = mVersion == 1 ? 0ms : DrawMs(0, kMaxViewDelayMs);
+    Schedule(delay, [this, i, take] {
       RunOn(static_cast<int>(i), [this, i, take] { take(mAgents[i].mView); });
     });
   }
   for (std::size_t i = 0; i < mBalancers.size(); ++i) {
-    Duration delay = mVersion == 1 ? 0ms : DrawMs(0, kMostViewDelayMs);
-    After(delay, [this, i, take] { take(mBalancers[i].mView); });
+    Duration delay = mVersion == 1 ? 0ms : DrawMs(0, kMaxViewDelayMs);
+    Schedule(delay, [this, i, take] { take(mBalancers[i].mView); });
   }
 }
 
@@ -184,38 +186,38 @@
   if (!mAgents[aAgent].mAlive) {
     return;
   }
-  After(400ms, [this, aAgent] { Heartbeat(aAgent); });
+  Schedule(400ms, [this, aAgent] { Heartbeat(aAgent); });
   Time sent = mNow;
   if (mAgents[aAgent].mPaused) {
     return;
   }
-  After(DrawMs(1, 10), [this, aAgent, sent] {
+  Schedule(DrawMs(1, 10), [this, aAgent, sent] {
     Agent& agent = mAgents[aAgent];
-    agent.mLastHeard = mNow;
-    if (std::exchange(agent.mIsHeldDead, false)) {
+    agent.mLastHeartbeat = mNow;
+    if (std::exchange(agent.mIsDeclaredDead, false)) {
       Publish();
     }
-    After(DrawMs(1, 10), [this, aAgent, sent] {
+    Schedule(DrawMs(1, 10), [this, aAgent, sent] {
       RunOn(aAgent, [this, aAgent, sent] {
         OwnershipActions actions;
         if (mAgents[aAgent].mView) {
           mAgents[aAgent].mOwnership->OnView(mAgents[aAgent].mView, sent, mNow,
                                              actions);
         }
-        Carry(aAgent, actions);
+        ExecuteActions(aAgent, actions);
       });
     });
   });
 }
 
-void OwnershipWorld::WatchForDeaths()
+void OwnershipWorld::DeclareDeaths()
 {
-  After(200ms, [this] { WatchForDeaths(); });
+  Schedule(200ms, [this] { DeclareDeaths(); });
   bool changed = false;
   for (Agent& it : mAgents) {
-    if (!it.mIsHeldDead && mNow - it.mLastHeard > kDeathAfter) {
-      it.mIsHeldDead = true;
-      it.mWasRemoved = true;
+    if (!it.mIsDeclaredDead && mNow - it.mLastHeartbeat > kDeathTimeout) {
+      it.mIsDeclaredDead = true;
+      it.mWasDeclaredDead = true;
       changed = true;
     }
   }
@@ -229,17 +231,17 @@
   if (!mAgents[aAgent].mAlive) {
     return;
   }
-  After(50ms, [this, aAgent] { Tick(aAgent); });
+  Schedule(50ms, [this, aAgent] { Tick(aAgent); });
   if (!mAgents[aAgent].mPaused) {
     OwnershipActions actions;
     mAgents[aAgent].mOwnership->Tick(mNow, actions);
-    Carry(aAgent, actions);
+    ExecuteActions(aAgent, actions);
   }
 }
 
 void OwnershipWorld::SendPacket(std::uint16_t aFlow)
 {
-  After(DrawMs(30, 900), [this, aFlow] { SendPacket(aFlow); });
+  Schedule(DrawMs(30, 900), [this, aFlow] { SendPacket(aFlow); });
   std::size_t at = Draw(mBalancers.size());
   Balancer& balancer = mBalancers[at];
   std::uint64_t hash = HashFlow(TestFlow(aFlow));
@@ -248,18 +250,18 @@
   if (target == nullptr) {
     return;
   }
-  PlayBaselines(mFlows[aFlow], hash, *balancer.mView);
+  RecordBaselines(mFlows[aFlow], hash, *balancer.mView);
   PacketEvent packet;
   packet.mFlow = TestFlow(aFlow);
   packet.mService = MakeServiceId("agenda");
   packet.mHintTo.mPort = static_cast<std::uint16_t>(kBalancerPort + at);
   packet.mDirective = target->mDirective;
   int to = AgentAt(target->mMember->mTunnel);
-  Network(-1, to, [this, to, packet] { Receive(to, packet); });
+  SendOverNetwork(-1, to, [this, to, packet] { Receive(to, packet); });
 }
 
-void OwnershipWorld::PlayBaselines(Flow& aFlow, std::uint64_t aHash,
-                                   const ServiceView& aView)
+void OwnershipWorld::RecordBaselines(Flow& aFlow, std::uint64_t aHash,
+                                     const ServiceView& aView)
 {
   std::vector<HostId> hosts;
   for (const Member& it : aView.Members()) {
@@ -270,8 +272,8 @@
   if (hosts.empty()) {
     return;
   }
-  aFlow.mModulo.Serve(hosts[aHash % hosts.size()]);
-  aFlow.mRendezvous.Serve(aView.Arbiter(aHash)->mHost);
+  aFlow.mModulo.Assign(hosts[aHash % hosts.size()]);
+  aFlow.mRendezvous.Assign(aView.Arbiter(aHash)->mHost);
 }
 
 void OwnershipWorld::Receive(int aAgent, PacketEvent aPacket)
@@ -282,47 +284,48 @@
     mWaiting[packet.mToken] = { packet, aAgent, mNow };
     OwnershipActions actions;
     mAgents[aAgent].mOwnership->OnPacket(packet, mNow, actions);
-    Carry(aAgent, actions);
+    ExecuteActions(aAgent, actions);
   });
 }
 
-void OwnershipWorld::Settled(PacketToken aToken)
+void OwnershipWorld::OnPacketSettled(PacketToken aToken)
 {
   auto it = mWaiting.find(aToken);
   if (it == mWaiting.end()) {
-    Violate(Violation::Stuck);
+    RecordViolation(Violation::Stuck);
     return;
   }
   if (mNow - it->second.mSince > 1s) {
-    Violate(Violation::Stuck);
+    RecordViolation(Violation::Stuck);
   }
   mWaiting.erase(it);
 }
 
-/** Carries out an agent's actions as its process would. */
-void OwnershipWorld::Carry(int aAgent, OwnershipActions& aActions)
+/** Executes an agent's actions as its process would. */
+void OwnershipWorld::ExecuteActions(int aAgent, OwnershipActions& aActions)
 {
   for (OwnershipAction& action : aActions) {
     if (auto* dispatch = std::get_if<DispatchPacket>(&action)) {
-      Settled(dispatch->mToken);
+      OnPacketSettled(dispatch->mToken);
       OnDispatch(aAgent, *dispatch);
     } else if (auto* forward = std::get_if<ForwardPacket>(&action)) {
       PacketEvent packet = mWaiting[forward->mToken].mPacket;
-      Settled(forward->mToken);
+      OnPacketSettled(forward->mToken);
       packet.mDirective = forward->mDirective;
       packet.mHops = forward->mHops;
       packet.mArbiter = forward->mArbiter;
       packet.mEpoch = forward->mEpoch;
       int to = AgentAt(forward->mTo.mTunnel);
-      Network(aAgent, to, [this, to, packet] { Receive(to, packet); });
+      SendOverNetwork(aAgent, to, [this, to, packet] { Receive(to, packet); });
     } else if (auto* refuse = std::get_if<RefusePacket>(&action)) {
-      Settled(refuse->mToken);
+      OnPacketSettled(refuse->mToken);
       ++mResult.mRefused;
       mFlows[refuse->mFlow.mCaller.mPort].mLastServed = false;
     } else if (auto* import = std::get_if<ImportFlow>(&action)) {
-      Life& life = mFlows[import->mFlow.mCaller.mPort].mLives[import->mEpoch];
-      life.mHolders.insert(aAgent);
-      life.mHolder = aAgent;
+      EpochHolders& holders =
+        mFlows[import->mFlow.mCaller.mPort].mEpochs[import->mEpoch];
+      holders.mHolders.insert(aAgent);
+      holders.mHolder = aAgent;
     } else if (auto* send = std::get_if<SendMessage>(&action)) {
       if (send->mTo.mPort >= kBalancerPort) {
         const Hint& hint = std::get<Hint>(send->mMessage);
@@ -332,20 +335,20 @@
         continue;
       }
       int to = AgentAt(send->mTo);
-      Network(aAgent, to, [this, to, message = send->mMessage] {
+      SendOverNetwork(aAgent, to, [this, to, message = send->mMessage] {
         RunOn(to, [this, to, message] {
           OwnershipActions actions;
           mAgents[to].mOwnership->OnMessage(message, mNow, actions);
-          Carry(to, actions);
+          ExecuteActions(to, actions);
         });
       });
     } else if (auto* out = std::get_if<ExportFlow>(&action)) {
       int to = AgentAt(out->mTo);
-      Network(aAgent, to, [this, to, message = out->mHandOff] {
+      SendOverNetwork(aAgent, to, [this, to, message = out->mHandOff] {
         RunOn(to, [this, to, message] {
           OwnershipActions actions;
           mAgents[to].mOwnership->OnMessage(message, mNow, actions);
-          Carry(to, actions);
+          ExecuteActions(to, actions);
         });
       });
     }
@@ -365,15 +368,15 @@
   for (std::uint32_t flow = 1; flow <= mResult.mFlows; ++flow) {
     auto port = static_cast<std::uint16_t>(flow + 10 * Draw(50));
     Duration start = DrawMs(50, 5000);
-    After(start, [this, port] { SendPacket(port); });
-    After(start + DrawMs(0, 3), [this, port] { SendPacket(port); });
+    Schedule(start, [this, port] { SendPacket(port); });
+    Schedule(start + DrawMs(0, 3), [this, port] { SendPacket(port); });
   }
   for (std::uint64_t i = 1 + Draw(4); i > 0; --i) {
-    After(DrawMs(50, 6000), [this] { DrawFault(); });
+    Schedule(DrawMs(50, 6000), [this] { DrawFault(); });
   }
-  After(3s, [this] { WatchForDeaths(); });
-  After(kFaultTime + 1s, [this] { mCalm = true; });
-  Time end = mNow + kFaultTime + kCalmTime;
+  Schedule(3s, [this] { DeclareDeaths(); });
+  Schedule(kFaultDuration + 1s, [this] { mFaultsEnded = true; });
+  Time end = mNow + kFaultDuration + kCalmDuration;
   while (!mEvents.empty() && mEvents.top().mAt < end) {
     Event event = mEvents.top();
     mEvents.pop();
@@ -383,7 +386,7 @@
   for (const auto& [token, waiting] : mWaiting) {
     const Agent& agent = mAgents[waiting.mAgent];
     if (agent.mAlive && !agent.mPaused && mNow - waiting.mSince > 1s) {
-      Violate(Violation::Stuck);
+      RecordViolation(Violation::Stuck);
     }
   }
   for (const auto& [port, flow] : mFlows) {
@@ -391,7 +394,7 @@
     mResult.mBrokenByModulo += flow.mModulo.mBroken ? 1 : 0;
     mResult.mBrokenByRendezvous += flow.mRendezvous.mBroken ? 1 : 0;
     if (!flow.mLastServed) {
-      Violate(Violation::Stuck);
+      RecordViolation(Violation::Stuck);
     }
   }
   return mResult;
--- a/tests/OwnershipWorld.h
+++ b/tests/OwnershipWorld.h
@@ -16,30 +16,31 @@
 
 namespace heatherplank {
 
-/** What a schedule must never show. */
+/** Invariant violations that no schedule may show. */
 enum class Violation : std::uint8_t
 {
-  /** Two hosts ran requests of one flow at once, or one life of a flow went on
-   * at a host that was not given it. */
+  /** Two hosts ran requests of one flow at once, or a host dispatched a flow
+   * under an epoch that was neither adopted there nor handed off to it. */
   TwoOwners,
-  /** An established flow was answered by another life though its owner lived.
-   */
+  /** An established flow was dispatched or answered under another epoch while
+   * its owner was live. */
   BrokenFlow,
   /** A host adopted a flow more than 2 s after it began to drain. */
   AdoptedWhileDraining,
-  /** A packet was neither dispatched nor refused in time. */
+  /** A packet was neither dispatched, forwarded nor refused in time, or the
+   * last packet of a flow was refused. */
   Stuck,
 };
 constexpr std::size_t kViolations = 4;
 
-/** Which schedules are drawn. */
+/** Which schedules are generated. */
 struct WorldOptions
 {
   OwnershipGuards mGuards;
-  /** Drains, joins and restarts of balancers only; no loss. */
+  /** Only drains, joins and restarts of balancers; no message loss. */
   bool mPlannedOnly = false;
-  /** Cuts between agents. */
-  bool mCuts = true;
+  /** Includes network partitions between agents. */
+  bool mPartitionsEnabled = true;
 };
 
 struct WorldResult
@@ -49,8 +50,8 @@
   std::uint32_t mRefused = 0;
   std::uint32_t mFlows = 0;
   std::uint32_t mBrokenFlows = 0;
-  /** Flows that would have broken with the same packets and views under a hash
-   * modulo n, and under rendezvous hashing without ownership. */
+  /** Flows that would have broken with the same packets and views: under
+   * hashing modulo n, and under rendezvous hashing without ownership. */
   std::uint32_t mBrokenByModulo = 0;
   std::uint32_t mBrokenByRendezvous = 0;
 
@@ -58,15 +59,16 @@
   std::uint32_t Total() const;
 };
 
-/** A small service on a paused clock: agents, balancers and a network that
- * loses, delays, doubles and reorders, under a schedule drawn from a seed.
+/** Simulates a small service on a virtual clock: agents, balancers and a
+ * network that loses, delays, duplicates and reorders messages, with a schedule
+ * of faults generated from a seed.
  */
 class OwnershipWorld
 {
 public:
   OwnershipWorld(std::uint64_t aSeed, const WorldOptions& aOptions);
 
-  /** Plays the schedule to its end. */
+  /** Runs the schedule to its end. */
   WorldResult Run();
 
 private:
@@ -78,14 +80,14 @@
     std::unique_ptr<Ownership> mOwnership;
     ServiceViewPtr mView;
     std::vector<Step> mBacklog;
-    Time mLastHeard;
+    Time mLastHeartbeat;
     Time mDrainSince;
     bool mAlive = false;
     bool mPaused = false;
     bool mDraining = false;
-    bool mIsHeldDead = false;
-    /** It was held dead at some time. */
-    bool mWasRemoved = false;
+    bool mIsDeclaredDead = false;
+    /** It was declared dead at some time, even if it is not any more. */
+    bool mWasDeclaredDead = false;
     bool mLeft = false;
   };
   struct Balancer
@@ -93,18 +95,18 @@
     ServiceViewPtr mView;
     HintCache mHints{ 16 };
   };
-  struct Life
+  struct EpochHolders
   {
     std::set<int> mHolders;
     int mHolder = -1;
   };
-  /** The hosts that a balancing method without state gives a flow. */
+  /** The hosts to which a stateless balancing method sends a flow. */
   struct Baseline
   {
     HostId mHost;
     bool mBroken = false;
 
-    void Serve(HostId aHost)
+    void Assign(HostId aHost)
     {
       mBroken = mBroken || (!mHost.IsNone() && mHost != aHost);
       mHost = aHost;
@@ -114,9 +116,9 @@
   {
     Baseline mModulo;
     Baseline mRendezvous;
-    std::map<FlowEpoch, Life> mLives;
+    std::map<FlowEpoch, EpochHolders> mEpochs;
     FlowEpoch mEstablished = 0;
-    /** Agents that run a request of it, and until when. */
+    /** Agents that run a request of the flow, and until when. */
     std::map<int, Time> mRunning;
     Time mLastDispatch;
     bool mBroken = false;
@@ -142,18 +144,18 @@
   std::uint64_t Draw(std::uint64_t aBelow) { return mRandom() % aBelow; }
   bool Chance(unsigned aPercent) { return Draw(100) < aPercent; }
   Duration DrawMs(std::uint64_t aFrom, std::uint64_t aTo);
-  void After(Duration aDelay, Step aStep);
+  void Schedule(Duration aDelay, Step aStep);
 
   int StartAgent(std::size_t aSlot, HostState aState);
   std::vector<int> Running() const;
   void RunOn(int aAgent, const Step& aStep);
-  void Carry(int aAgent, OwnershipActions& aActions);
-  void Network(int aFrom, int aTo, const Step& aStep);
+  void ExecuteActions(int aAgent, OwnershipActions& aActions);
+  void SendOverNetwork(int aFrom, int aTo, const Step& aStep);
   int AgentAt(const Address& aAddress) const;
 
   void Publish();
   void Heartbeat(int aAgent);
-  void WatchForDeaths();
+  void DeclareDeaths();
   void Tick(int aAgent);
 
   void DrawFault();
@@ -161,19 +163,19 @@
   void DrainAgent(int aAgent);
   void LeaveWhenEmpty(int aAgent, Time aLatest);
   void Kill(int aAgent);
-  void Pause(int aAgent, Duration aTime);
+  void Pause(int aAgent, Duration aDuration);
 
   void SendPacket(std::uint16_t aFlow);
-  void PlayBaselines(Flow& aFlow, std::uint64_t aHash,
-                     const ServiceView& aView);
+  void RecordBaselines(Flow& aFlow, std::uint64_t aHash,
+                       const ServiceView& aView);
   void Receive(int aAgent, PacketEvent aPacket);
   void OnDispatch(int aAgent, const DispatchPacket& aDispatch);
   void OnAnswer(int aAgent, const DispatchPacket& aDispatch);
   void CheckOwner(int aAgent, Flow& aFlow, FlowEpoch aEpoch);
-  void CheckLife(Flow& aFlow, FlowEpoch aEpoch);
-  bool Lives(int aAgent) const;
-  void Settled(PacketToken aToken);
-  void Violate(Violation aViolation)
+  void CheckEpoch(Flow& aFlow, FlowEpoch aEpoch);
+  bool IsLive(int aAgent) const;
+  void OnPacketSettled(PacketToken aToken);
+  void RecordViolation(Violation aViolation)
   {
     ++mResult.mViolations[static_cast<int>(aViolation)];
   }
@@ -187,17 +189,17 @@
   std::uint64_t mOrder = 0;
   std::priority_queue<Event> mEvents;
   std::vector<Agent> mAgents;
-  /** The latest agent of each address. */
+  /** Index of the newest agent at each address. */
   std::vector<int> mCurrent;
   std::vector<Balancer> mBalancers;
   std::map<std::uint16_t, Flow> mFlows;
   std::map<PacketToken, Waiting> mWaiting;
-  std::set<std::pair<int, int>> mCut;
+  std::set<std::pair<int, int>> mPartitions;
   std::uint64_t mVersion = 0;
   PacketToken mLastToken = 0;
   std::size_t mSlots = 0;
   unsigned mLossPercent = 0;
-  bool mCalm = false;
+  bool mFaultsEnded = false;
   WorldResult mResult;
 };
 
--- a/tests/OwnershipWorldFaults.cpp
+++ b/tests/OwnershipWorldFaults.cpp
@@ -1,4 +1,6 @@
-// The faults of a schedule: hosts that join, drain, die and pause, and cuts.
+// The faults of a schedule: hosts that join, drain, die and stall, and network
+// partitions.
+
 #include <algorithm>
 #include <utility>
 
@@ -13,7 +15,7 @@
   int index = StartAgent(aSlot, HostState::Cold);
   mAgents[index].mMember.mWeight = 25;
   Publish();
-  After(DrawMs(500, 2000), [this, index] {
+  Schedule(DrawMs(500, 2000), [this, index] {
     Agent& agent = mAgents[index];
     if (agent.mAlive && !agent.mDraining) {
       agent.mMember.mState = HostState::Serving;
@@ -34,10 +36,10 @@
     RunOn(aAgent, [this, aAgent] {
       OwnershipActions actions;
       mAgents[aAgent].mOwnership->Drain(mNow, actions);
-      Carry(aAgent, actions);
+      ExecuteActions(aAgent, actions);
     });
   }
-  After(3s, [this, aAgent] { LeaveWhenEmpty(aAgent, mNow + 8s); });
+  Schedule(3s, [this, aAgent] { LeaveWhenEmpty(aAgent, mNow + 8s); });
 }
 
 void OwnershipWorld::LeaveWhenEmpty(int aAgent, Time aLatest)
@@ -48,12 +50,12 @@
   }
   bool isEmpty = !agent.mPaused && agent.mOwnership->FlowCount() == 0;
   if (!isEmpty && mNow < aLatest) {
-    After(200ms, [=, this] { LeaveWhenEmpty(aAgent, aLatest); });
+    Schedule(200ms, [=, this] { LeaveWhenEmpty(aAgent, aLatest); });
     return;
   }
   agent.mMember.mState = HostState::Leaving;
   Publish();
-  After(mRules.mSettle, [this, aAgent] {
+  Schedule(mRules.mSettle, [this, aAgent] {
     mAgents[aAgent].mAlive = false;
     mAgents[aAgent].mLeft = true;
   });
@@ -66,13 +68,13 @@
                 [&](const auto& aIt) { return aIt.second.mAgent == aAgent; });
 }
 
-void OwnershipWorld::Pause(int aAgent, Duration aTime)
+void OwnershipWorld::Pause(int aAgent, Duration aDuration)
 {
   if (mAgents[aAgent].mPaused) {
     return;
   }
   mAgents[aAgent].mPaused = true;
-  After(aTime, [this, aAgent] {
+  Schedule(aDuration, [this, aAgent] {
     Agent& agent = mAgents[aAgent];
     if (!agent.mAlive) {
       return;
@@ -114,7 +116,7 @@
       break;
     case 4:
       Kill(target);
-      After(DrawMs(100, 1500), [this, slot] { Join(slot); });
+      Schedule(DrawMs(100, 1500), [this, slot] { Join(slot); });
       break;
     case 5:
       Pause(target, DrawMs(200, 2500));
@@ -123,11 +125,11 @@
       Pause(target, DrawMs(2500, 6000));
       break;
     default:
-      if (mOptions.mCuts) {
+      if (mOptions.mPartitionsEnabled) {
         int other = running[Draw(running.size())];
         std::pair<int, int> pair = std::minmax(target, other);
-        mCut.insert(pair);
-        After(DrawMs(300, 5000), [this, pair] { mCut.erase(pair); });
+        mPartitions.insert(pair);
+        Schedule(DrawMs(300, 5000), [this, pair] { mPartitions.erase(pair); });
       }
   }
 }
--- a/tests/RendezvousTest.cpp
+++ b/tests/RendezvousTest.cpp
@@ -23,9 +23,9 @@
 
 TEST_GROUP(Rendezvous){};
 
-// One host of a service leaves. Under a hash modulo n most flows would change
-// their host; here only the flows of the host that left may, whether the view
-// scans its members or looks in its table.
+// One host of a service leaves. With hashing modulo n most flows would change
+// their host; with rendezvous hashing only the flows of that host may, whether
+// the view scans its members or uses its bucket table.
 TEST(Rendezvous, MovesOnlyTheFlowsOfTheHostThatLeft)
 {
   for (std::size_t count : { 7U, 32U, 300U }) {
@@ -33,19 +33,21 @@
     auto before = TestView(1, members);
     HostId gone = members.back().mHost;
     members.pop_back();
-    // A table and a scan order flows differently: stay on one side.
+    // The table and the scan rank differently, so both views must use the same
+    // one of the two.
     auto after = TestView(2, members);
     for (std::uint64_t i = 0; i < 5000; ++i) {
       std::uint64_t hash = MixHash(i, 1);
-      HostId was = before->Arbiter(hash)->mHost;
-      HostId is = after->Arbiter(hash)->mHost;
-      CHECK_TRUE(was == gone ? is == before->Candidates(hash)[1]->mHost
-                             : is == was);
+      HostId oldArbiter = before->Arbiter(hash)->mHost;
+      HostId newArbiter = after->Arbiter(hash)->mHost;
+      CHECK_TRUE(oldArbiter == gone
+                   ? newArbiter == before->Candidates(hash)[1]->mHost
+                   : newArbiter == oldArbiter);
     }
   }
 }
 
-TEST(Rendezvous, GivesEachHostItsWeight)
+TEST(Rendezvous, AssignsFlowsInProportionToWeight)
 {
   for (std::size_t count : { 8U, 200U }) {
     auto members = TestMembers(count);
--- a/tests/ServiceViewTest.cpp
+++ b/tests/ServiceViewTest.cpp
@@ -7,8 +7,8 @@
 
 TEST_GROUP(ServiceView){};
 
-// A host drains. It must be given no new flow, but it still owns the old ones,
-// so it has to stay among those that are asked.
+// A draining host must not adopt new flows, but still owns the old ones, so it
+// must remain among the members that are queried.
 TEST(ServiceView, DrainingMembersAreRankedButNotCandidates)
 {
   for (std::size_t count : { 5U, 100U }) {
@@ -47,8 +47,8 @@
   CHECK_TRUE(view->Candidates(5).empty());
 }
 
-// All members that a table's bucket names drain at once: the flow must still
-// find one of the many others.
+// All members in a bucket of the rank table drain at once. The flow's arbiter
+// must then be one of the other members.
 TEST(ServiceView, FindsACandidateOutsideItsBucket)
 {
   auto members = TestMembers(64);
--- a/tests/SteeringTest.cpp
+++ b/tests/SteeringTest.cpp
@@ -23,8 +23,9 @@
   CHECK_TRUE(target.mDirective == PacketDirective::Deliver);
 }
 
-// A host restarts at its address. A hint from before names it still; following
-// it would send the flow to a process that knows nothing of it.
+// A host restarts at the same address while a hint names its earlier
+// incarnation. Following the hint would send the flow to a process without its
+// state.
 TEST(Steering, DropsTheHintOfAnEarlierIncarnation)
 {
   auto members = TestMembers(5);
@@ -37,7 +38,7 @@
   CHECK_FALSE(hints.Find(hash).has_value());
 }
 
-TEST(Steering, RefusesWithAReason)
+TEST(Steering, RefusesWithoutAServiceOrMembers)
 {
   HintCache hints(64);
   CHECK_TRUE(std::get<SteerRefusal>(Steer(1, nullptr, hints)) ==
