--- a/src/passthrough/DrainWatch.cpp
+++ b/src/passthrough/DrainWatch.cpp
@@ -26,63 +26,64 @@
 {
 }
 
-void DrainWatch::SetWatches(bool aWatches)
+void DrainWatch::SetWatching(bool aIsWatching)
 {
-  mSchedule.SetWatchFor(aWatches ? std::optional(kWatchFor) : std::nullopt);
+  mSchedule.SetWatchDuration(aIsWatching ? std::optional(kWatchDuration)
+                                         : std::nullopt);
 }
 
 Time DrainWatch::ConfirmedAt() const
 {
-  return IsUsed() ? std::max(mSchedule.ConfirmedAt(), mConfirmedAt)
-                  : mClock.Now();
+  return IsEnabled() ? std::max(mSchedule.ConfirmedAt(), mConfirmedAt)
+                     : mClock.Now();
 }
 
 void DrainWatch::OnStoreVersion(std::uint64_t aVersion, Time aAt)
 {
-  if (!IsUsed() || !mDrains.IsKnown()) {
+  if (!IsEnabled() || !mDrains.IsKnown()) {
     return;
   }
   if (aVersion <= mDrains.mVersion) {
     mConfirmedAt = std::max(mConfirmedAt, aAt);
-  } else if (!mLooking && mClock.Now() - mLookedAt >= kLookEvery) {
-    Look();
+  } else if (!mReadPending && mClock.Now() - mNamesReadAt >= kMinReadInterval) {
+    ReadNames();
   }
 }
 
-void DrainWatch::ReadFirst()
+void DrainWatch::ReadIfUnknown()
 {
-  if (!IsKnown() && !mLooking) {
-    Look();
+  if (!IsKnown() && !mReadPending) {
+    ReadNames();
   }
 }
 
-/** Reads the names beside the watch, which goes on. */
-void DrainWatch::Look()
+/** Reads the names without interrupting the watch. */
+void DrainWatch::ReadNames()
 {
-  mLooking = true;
-  mLookedAt = mClock.Now();
+  mReadPending = true;
+  mNamesReadAt = mClock.Now();
   mStore.WatchNames(mOptions.mKind + "/", 0, Duration::zero(),
                     [self = shared_from_this(),
-                     at = mLookedAt](const Result<NameChange>& aChange) {
-                      self->OnLooked(at, aChange);
+                     at = mNamesReadAt](const Result<NameChange>& aChange) {
+                      self->OnNamesRead(at, aChange);
                     });
 }
 
-void DrainWatch::OnLooked(Time aCalledAt, const Result<NameChange>& aChange)
+void DrainWatch::OnNamesRead(Time aCalledAt, const Result<NameChange>& aChange)
 {
-  mLooking = false;
+  mReadPending = false;
   if (!aChange) {
     LogEvent(LogLevel::Warning, "drains_not_read",
              { { "why", aChange.error().Describe() } });
     return;
   }
   mConfirmedAt = std::max(mConfirmedAt, aCalledAt);
-  Take(*aChange);
+  OnNameChange(*aChange);
 }
 
 void DrainWatch::OnTick()
 {
-  auto call = IsUsed() ? mSchedule.Next(mClock.Now()) : std::nullopt;
+  auto call = IsEnabled() ? mSchedule.Next(mClock.Now()) : std::nullopt;
   if (!call) {
     return;
   }
@@ -116,11 +117,11 @@
   if (effect == Effect::Stale) {
     return;
   }
-  Take(*aChange);
+  OnNameChange(*aChange);
   OnTick();
 }
 
-void DrainWatch::Take(const NameChange& aChange)
+void DrainWatch::OnNameChange(const NameChange& aChange)
 {
   DataCentreDrains read{ aChange.mAsOf, mDrains.mDataCentres };
   if (aChange.mNames) {
@@ -133,18 +134,19 @@
   Accept(read, "store");
 }
 
-/** Failure met: a peer that was cut off, or an answer that was held up, tells
- * of an order that was taken back since, or of the state before an order. */
+/** Failure met: an isolated peer or a delayed response reports a drain that was
+ * cancelled since, or the state before a drain. The version check rejects it.
+ */
 void DrainWatch::Accept(const DataCentreDrains& aDrains,
                         std::string_view aSource)
 {
-  if (!IsUsed() || aDrains.mVersion <= mDrains.mVersion) {
+  if (!IsEnabled() || aDrains.mVersion <= mDrains.mVersion) {
     return;
   }
-  bool isNews =
+  bool isChanged =
     !mDrains.IsKnown() || aDrains.mDataCentres != mDrains.mDataCentres;
   mDrains = aDrains;
-  if (!isNews) {
+  if (!isChanged) {
     return;
   }
   LogEvent(LogLevel::Info, "drains_in_force",
--- a/src/passthrough/DrainWatch.h
+++ b/src/passthrough/DrainWatch.h
@@ -12,78 +12,83 @@
 
 namespace heatherplank {
 
-/** Keeps a balancer's knowledge of the drained data centres at the newest
- * version that it has seen, from the store (by WatchSchedule) and from peers; a
- * version never goes back within a process.
+/** Keeps a balancer's set of drained data centres at the newest version
+ * received from the store (by WatchSchedule) or from peers. The version never
+ * decreases within a process.
  *
- * A long watch brings a change at once, and costs few calls. That it may have
- * gone silent is made good by the answers to other calls: each tells the
- * store's version, and as long as that has not moved, no drain has changed;
- * once it has, the names are read again. Runs on one thread, that of the
- * store's executor.
+ * A long watch delivers a change at once and costs few calls. Responses to
+ * other store calls compensate for a watch that became unresponsive: each
+ * carries the store's version. While that version is unchanged, no drain has
+ * changed; once it increases, the names are read again. Runs on one thread,
+ * that of the store's executor.
  */
 class DrainWatch : public std::enable_shared_from_this<DrainWatch>
 {
 public:
-  /** Called when data centres are drained or taken back. */
+  /** Called when data centres are drained or returned to service. */
   using OnDrains = std::function<void(const DataCentreDrains&)>;
 
   struct Options
   {
-    /** The store's kind whose objects are named after drained data centres;
-     * empty: none is ever drained. */
+    /** The kind of the store's objects whose names are the drained data
+     * centres; empty: drains are disabled. */
     std::string mKind;
     WatchSchedule::Options mSchedule;
   };
 
-  /** aClock and aStore must outlive it, and every call of the store. */
+  /** aClock and aStore must outlive the watch and every store call. */
   static std::shared_ptr<DrainWatch> Make(const Clock& aClock,
                                           ObjectStore& aStore, Options aOptions,
                                           OnDrains aOnDrains);
 
-  /** How long one watch waits. */
-  static constexpr Duration kWatchFor = std::chrono::seconds(20);
-  /** The least time between two reads that a moved version asks for: an
-   * operator who changes routes many times a second would cost a call each
-   * time. */
-  static constexpr Duration kLookEvery = std::chrono::milliseconds(1000);
+  /** How long each watch waits for a change. */
+  static constexpr Duration kWatchDuration = std::chrono::seconds(20);
+  /** The shortest time between two reads caused by a higher store version. It
+   * limits the calls while an operator changes routes many times a second. */
+  static constexpr Duration kMinReadInterval = std::chrono::milliseconds(1000);
 
-  /** Whether to watch from now on. */
-  void SetWatches(bool aWatches);
+  /** Starts or stops watching. */
+  void SetWatching(bool aIsWatching);
 
-  /** Starts the next call when it is due; call it some ten times a second. */
+  /** Starts the next store call when it is due. Call it about ten times a
+   * second. */
   void OnTick();
 
-  /** Reads anew: this process stood still. */
+  /** Reads all names now and abandons the pending call: this process was
+   * stalled. */
   void ReadNow();
 
-  /** The store answers, and routes wait for the drains: reads them at once, if
-   * nothing is known yet. */
-  void ReadFirst();
+  /** Reads the drains at once if none are known yet: the store is available and
+   * routes wait for the drains. */
+  void ReadIfUnknown();
 
-  /** An answer to another call told the store's version, which was in force at
-   * aAt. */
+  /** The response to another store call carried the store's version as of aAt.
+   */
   void OnStoreVersion(std::uint64_t aVersion, Time aAt);
 
-  /** What a peer knows. */
-  void OnPeer(const DataCentreDrains& aDrains) { Accept(aDrains, "peer"); }
+  /** The drains known to a peer. */
+  void OnPeerDrains(const DataCentreDrains& aDrains)
+  {
+    Accept(aDrains, "peer");
+  }
 
-  /** It was heard, from the store or a peer, which data centres are drained. */
-  bool IsKnown() const { return !IsUsed() || mDrains.IsKnown(); }
+  /** Whether the set of drained data centres was received from the store or a
+   * peer. */
+  bool IsKnown() const { return !IsEnabled() || mDrains.IsKnown(); }
   const DataCentreDrains& Drains() const { return mDrains; }
 
-  /** When the store last said, in whatever way, that nothing newer is in force;
-   * zero if it never did. */
+  /** When the store last confirmed, by a response to any call, that nothing
+   * newer is in force; zero if it never did. */
   Time ConfirmedAt() const;
 
 private:
   DrainWatch(const Clock& aClock, ObjectStore& aStore, Options aOptions,
              OnDrains aOnDrains);
 
-  bool IsUsed() const { return !mOptions.mKind.empty(); }
-  void Look();
-  void OnLooked(Time aCalledAt, const Result<NameChange>& aChange);
-  void Take(const NameChange& aChange);
+  bool IsEnabled() const { return !mOptions.mKind.empty(); }
+  void ReadNames();
+  void OnNamesRead(Time aCalledAt, const Result<NameChange>& aChange);
+  void OnNameChange(const NameChange& aChange);
   void OnAnswer(const WatchSchedule::Call& aCall,
                 const Result<NameChange>& aChange);
   void Accept(const DataCentreDrains& aDrains, std::string_view aSource);
@@ -94,10 +99,11 @@
   const OnDrains mOnDrains;
   WatchSchedule mSchedule;
   DataCentreDrains mDrains;
-  /** Of the answers to other calls. */
+  /** The last confirmation outside the watch: by ReadNames() or
+   * OnStoreVersion(). */
   Time mConfirmedAt{};
-  Time mLookedAt{};
-  bool mLooking = false;
+  Time mNamesReadAt{};
+  bool mReadPending = false;
 };
 
 } // namespace heatherplank
--- a/src/passthrough/FlowInventory.cpp
+++ b/src/passthrough/FlowInventory.cpp
@@ -6,8 +6,8 @@
 
 namespace {
 
-/** Keeps the split of a route apart from the ranks of hosts, which come from
- * the same hash of the flow. */
+/** Makes the choice of a route's service independent of the ranking of hosts,
+ * which uses the same flow hash. */
 constexpr std::uint64_t kSplitSeed = 0x73706c6974;
 
 } // namespace
--- a/src/passthrough/FlowInventory.h
+++ b/src/passthrough/FlowInventory.h
@@ -21,46 +21,48 @@
   std::uint32_t mWeight = 1;
 };
 
-/** What is reached at one address and port, and what its flows carry. */
+/** The services behind one address and port, and the properties of their flows.
+ */
 struct FlowRoute
 {
   std::string mName;
   /** Not empty. */
   std::vector<RouteShare> mShares;
   Importance mImportance = Importance::Normal;
-  /** An answer later than this is worth little to the caller. */
+  /** A response later than this is of little use to the caller. */
   Duration mLatencyTarget = std::chrono::milliseconds(100);
 
-  /** The service for a new flow: by weight, the same on every balancer. */
+  /** Selects the service of a new flow by weight, the same on every balancer.
+   */
   ServiceId ServiceOf(std::uint64_t aFlowHash) const;
 };
 
-/** The routes of opaque flows, accepted as one version. Immutable once made. */
+/** One version of the routes of opaque flows. Immutable once constructed. */
 struct FlowInventory
 {
-  /** A higher one replaces a lower one, never back. */
+  /** A higher version replaces a lower one, never the reverse. */
   std::uint64_t mVersion = 0;
   std::unordered_map<Address, FlowRoute> mRoutes;
-  /** New flows a second that a host bears while it is cold, for services whose
-   * hosts fall over above that. */
+  /** Highest rate of new flows, per second, that a host sustains while it is
+   * cold, for services whose hosts fail above that rate. */
   std::unordered_map<ServiceId, double> mColdRates;
 
   /** The route of an address, or null. Thread safe. */
   const FlowRoute* Find(const Address& aAddress) const;
 
-  /** The cold rate of a service; 0 if it has no bound. Thread safe. */
+  /** The cold rate of a service; 0 if it has no limit. Thread safe. */
   double ColdRateOf(ServiceId aService) const;
 };
 
 using FlowInventoryPtr = std::shared_ptr<const FlowInventory>;
 
-/** Reads an inventory as the operator's tools write it. Thread safe. */
+/** Parses an inventory in the format of the operator's tools. Thread safe. */
 class FlowInventoryReader
 {
 public:
   virtual ~FlowInventoryReader() = default;
 
-  /** Malformed, with what is wrong, if the document can't be used. */
+  /** Malformed, with the cause, if the document is invalid. */
   virtual Result<FlowInventoryPtr> Read(std::string_view aDocument) const = 0;
 };
 
--- a/src/passthrough/InventoryExchange.cpp
+++ b/src/passthrough/InventoryExchange.cpp
@@ -12,9 +12,9 @@
 
 namespace {
 
-/** The largest text of routes that is taken from a peer; the store's values
- * are smaller. */
-constexpr std::size_t kLargestText = std::size_t{ 4 } * 1024 * 1024;
+/** The largest text of routes accepted from a peer; the store's values are
+ * smaller. */
+constexpr std::size_t kMaxDocumentBytes = std::size_t{ 4 } * 1024 * 1024;
 
 } // namespace
 
@@ -37,38 +37,41 @@
 {
   Time now = mParts.mClock.Now();
   auto balancers = mParts.mBalancers();
-  JudgeDuty(balancers, now);
+  UpdateWatch(balancers, now);
   mWatch->OnTick();
   mDrains->OnTick();
-  // A read of one object does not tell the store's version.
+  // The response to a read of one object does not carry the store's version, so
+  // only the time of the last watch counts.
   mDrains->OnStoreVersion(mParts.mStore.SeenVersion(), mWatch->WatchedAt());
-  Send(mPeers.OnTick(PeerAddresses(balancers), WhatIsKnown(now), now));
+  Send(mPeers.OnTick(PeerAddresses(balancers), MakeLocalState(now), now));
 }
 
-void InventoryExchange::JudgeDuty(std::span<const Member> aBalancers, Time aNow)
+void InventoryExchange::UpdateWatch(std::span<const Member> aBalancers,
+                                    Time aNow)
 {
-  auto wait =
-    mDuty.WatchFor(aBalancers, KnowsAll(), mPeers.IsAsking(aNow), aNow);
-  mWatch->SetWatchFor(wait);
-  // While the store is away one kind of call is enough to find it again.
-  mDrains->SetWatches(wait && !mWatch->IsStoreLost());
-  if (wait.has_value() != mWatches) {
-    mWatches = wait.has_value();
+  auto wait = mDuty.WatchDuration(aBalancers, HasRoutesAndDrains(),
+                                  mPeers.IsDocumentPending(aNow), aNow);
+  mWatch->SetWatchDuration(wait);
+  // While the store is unavailable, one kind of call suffices to detect its
+  // return.
+  mDrains->SetWatching(wait && !mWatch->IsStoreLost());
+  if (wait.has_value() != mIsWatching) {
+    mIsWatching = wait.has_value();
     LogEvent(
-      LogLevel::Info, mWatches ? "store_watched" : "store_left_to_others",
+      LogLevel::Info, mIsWatching ? "store_watched" : "store_left_to_others",
       { { "balancers", aBalancers.size() }, { "routes_version", Version() } });
   }
 }
 
 Time InventoryExchange::ConfirmedAt() const
 {
-  Time here = std::min(mWatch->ConfirmedAt(), mDrains->ConfirmedAt());
-  return std::max(here, mDuty.ConfirmedAt().value_or(Time{}));
+  Time local = std::min(mWatch->ConfirmedAt(), mDrains->ConfirmedAt());
+  return std::max(local, mDuty.ConfirmedAt().value_or(Time{}));
 }
 
-InventoryPeers::Known InventoryExchange::WhatIsKnown(Time aNow) const
+InventoryPeers::LocalState InventoryExchange::MakeLocalState(Time aNow) const
 {
-  InventoryPeers::Known out;
+  InventoryPeers::LocalState out;
   out.mVersion = Version();
   out.mDrains = mDrains->Drains();
   if (ConfirmedAt() != Time{}) {
@@ -95,69 +98,70 @@
 
 void InventoryExchange::OnInventory(FlowInventoryPtr aInventory)
 {
-  mWaiting = std::move(aInventory);
-  mDrains->ReadFirst();
-  PutInForce();
-  TellPeers();
+  mPendingInventory = std::move(aInventory);
+  mDrains->ReadIfUnknown();
+  ApplyPendingInventory();
+  NotifyPeers();
 }
 
 void InventoryExchange::OnDrains(const DataCentreDrains& aDrains)
 {
   mParts.mOnDrains(aDrains);
-  PutInForce();
-  TellPeers();
+  ApplyPendingInventory();
+  NotifyPeers();
 }
 
-void InventoryExchange::PutInForce()
+void InventoryExchange::ApplyPendingInventory()
 {
-  if (mWaiting && mDrains->IsKnown()) {
-    mParts.mOnInventory(std::exchange(mWaiting, nullptr));
+  if (mPendingInventory && mDrains->IsKnown()) {
+    mParts.mOnInventory(std::exchange(mPendingInventory, nullptr));
   }
 }
 
-void InventoryExchange::TellPeers()
+void InventoryExchange::NotifyPeers()
 {
   Time now = mParts.mClock.Now();
-  Send(mPeers.OnChanged(PeerAddresses(mParts.mBalancers()), WhatIsKnown(now),
+  Send(mPeers.OnChanged(PeerAddresses(mParts.mBalancers()), MakeLocalState(now),
                         now));
 }
 
 void InventoryExchange::OnNotice(const InventoryNotice& aNotice)
 {
   Time now = mParts.mClock.Now();
-  mDrains->OnPeer(aNotice.mDrains);
-  if (InventoryPeers::IsOwedDocument(aNotice, Version())) {
-    GiveDocument(aNotice, now);
+  mDrains->OnPeerDrains(aNotice.mDrains);
+  if (InventoryPeers::ShouldSendDocument(aNotice, Version())) {
+    SendDocument(aNotice, now);
     return;
   }
-  bool isAllHere = Version() != 0 && aNotice.mVersion <= Version() &&
-                   aNotice.mDrains.mVersion >= mDrains->Drains().mVersion;
-  if (aNotice.mConfirmedAgo && isAllHere) {
+  bool confirmsLocalState =
+    Version() != 0 && aNotice.mVersion <= Version() &&
+    aNotice.mDrains.mVersion >= mDrains->Drains().mVersion;
+  if (aNotice.mConfirmedAgo && confirmsLocalState) {
     mDuty.OnConfirmed(now - *aNotice.mConfirmedAgo);
   }
-  Send(mPeers.OnNotice(aNotice, WhatIsKnown(now), now));
+  Send(mPeers.OnNotice(aNotice, MakeLocalState(now), now));
 }
 
-void InventoryExchange::GiveDocument(const InventoryNotice& aNotice, Time aNow)
+void InventoryExchange::SendDocument(const InventoryNotice& aNotice, Time aNow)
 {
-  std::size_t size = Packed().size();
-  bool given = mPeers.TakeLink(size, aNow);
-  LogEvent(LogLevel::Info, given ? "routes_given" : "routes_not_given_now",
+  std::size_t size = PackedDocument().size();
+  bool isSent = mPeers.ReserveLink(size, aNow);
+  LogEvent(LogLevel::Info, isSent ? "routes_given" : "routes_not_given_now",
            { { "to", aNotice.mControl.ToString() },
              { "their_version", aNotice.mVersion },
              { "version", Version() },
              { "bytes", size } });
-  if (given) {
+  if (isSent) {
     mParts.mMessages.Send(aNotice.mControl, MessageKind::InventoryDocument,
                           EncodePayload(mPacked));
   } else {
-    Send({ mPeers.Busy(aNotice, WhatIsKnown(aNow)) });
+    Send({ mPeers.MakeBusyNotice(aNotice, MakeLocalState(aNow)) });
   }
 }
 
-/** Packed once a version: it takes a machine with a small share of a core some
- * 10 ms. */
-const Bytes& InventoryExchange::Packed()
+/** Compresses once per version: on a VM with a small share of a core it takes
+ * about 10 ms. */
+const Bytes& InventoryExchange::PackedDocument()
 {
   if (mPacked.mVersion != Version()) {
     mPacked = { Version(), Compress(mWatch->Document()) };
@@ -167,7 +171,7 @@
 
 void InventoryExchange::OnDocument(const InventoryDocument& aDocument)
 {
-  auto text = Decompress(aDocument.mPacked, kLargestText);
+  auto text = Decompress(aDocument.mPacked, kMaxDocumentBytes);
   if (!text) {
     LogEvent(LogLevel::Error, "routes_unreadable",
              { { "source", "peer" }, { "why", text.error().Describe() } });
@@ -175,7 +179,8 @@
   mPeers.OnDocument(text && mWatch->OnPeerDocument(*text));
 }
 
-void InventoryExchange::Send(const std::vector<InventoryPeers::Send>& aNotices)
+void InventoryExchange::Send(
+  const std::vector<InventoryPeers::OutgoingNotice>& aNotices)
 {
   for (const auto& it : aNotices) {
     mParts.mMessages.Send(it.mTo, MessageKind::InventoryNotice,
--- a/src/passthrough/InventoryExchange.h
+++ b/src/passthrough/InventoryExchange.h
@@ -14,13 +14,13 @@
 
 class MessageSender;
 
-/** How a balancer keeps its routes and the drained data centres: from the store
- * and from other balancers, and tells these. Joins StoreWatchDuty,
- * InventoryWatch, DrainWatch and InventoryPeers to the wire. Runs on one
- * thread.
+/** Keeps a balancer's routes and drained data centres up to date from the store
+ * and from other balancers, and notifies other balancers of changes. Connects
+ * StoreWatchDuty, InventoryWatch, DrainWatch and InventoryPeers to the network.
+ * Runs on one thread.
  *
- * Routes come into force once the drains are known: a balancer that knows the
- * routes alone would place flows on hosts that are about to lose power.
+ * Routes come into force once the drains are known: a balancer that knows only
+ * the routes would place flows on hosts that are about to lose power.
  */
 class InventoryExchange
 {
@@ -35,34 +35,35 @@
     DrainWatch::Options mDrainWatch;
     InventoryPeers::Options mPeers;
     StoreWatchDuty::Options mDuty;
-    /** The other balancers in view. */
+    /** The other balancers in the membership view. */
     std::function<std::vector<Member>()> mBalancers;
-    /** Control addresses to begin with, before any balancer is in view. */
+    /** Control addresses used while no other balancer is in the view. */
     std::function<std::vector<Address>()> mSeeds;
     /** Routes came into force. */
     std::function<void(FlowInventoryPtr)> mOnInventory;
-    /** Data centres were drained or taken back. */
+    /** Data centres were drained or returned to service. */
     std::function<void(const DataCentreDrains&)> mOnDrains;
   };
 
-  /** What the parts refer to must outlive it. */
+  /** The objects that aParts refers to must outlive it. */
   explicit InventoryExchange(Parts aParts);
 
-  /** Call it some times a second. */
+  /** Call it several times a second. */
   void OnTick();
   void OnNotice(const InventoryNotice& aNotice);
   void OnDocument(const InventoryDocument& aDocument);
 
-  /** This process did not run for a while. */
-  void OnStandstill() { mDuty.OnStandstill(); }
+  /** This process was stalled. */
+  void OnStandstill() { mDuty.OnProcessStall(); }
 
-  /** Reads the whole from the store at once: what is held may be old. */
+  /** Reads routes and drains from the store at once: the local copies may be
+   * old. */
   void ReadNow();
 
-  /** 0 before any came into force. */
+  /** The routes' version; 0 before any were received. */
   std::uint64_t Version() const { return mWatch->Version(); }
-  /** When the store last answered; zero before it did. */
-  Time HeardAt() const { return mWatch->HeardAt(); }
+  /** When the store last responded; zero if it never did. */
+  Time HeardAt() const { return mWatch->LastAnswerAt(); }
   bool IsStoreAnswering() const
   {
     return HeardAt() != Time{} && !mWatch->IsStoreLost();
@@ -71,28 +72,32 @@
 private:
   void OnInventory(FlowInventoryPtr aInventory);
   void OnDrains(const DataCentreDrains& aDrains);
-  /** Puts routes in force that waited for the drains. */
-  void PutInForce();
-  bool KnowsAll() const { return Version() != 0 && mDrains->IsKnown(); }
-  /** When the store last confirmed all that is in force; zero if it did not. */
+  /** Puts pending routes in force if the drains are known. */
+  void ApplyPendingInventory();
+  bool HasRoutesAndDrains() const
+  {
+    return Version() != 0 && mDrains->IsKnown();
+  }
+  /** When the store last confirmed the routes and drains in force; zero if it
+   * never did. */
   Time ConfirmedAt() const;
-  void TellPeers();
-  void JudgeDuty(std::span<const Member> aBalancers, Time aNow);
-  void GiveDocument(const InventoryNotice& aNotice, Time aNow);
-  const Bytes& Packed();
-  InventoryPeers::Known WhatIsKnown(Time aNow) const;
+  void NotifyPeers();
+  void UpdateWatch(std::span<const Member> aBalancers, Time aNow);
+  void SendDocument(const InventoryNotice& aNotice, Time aNow);
+  const Bytes& PackedDocument();
+  InventoryPeers::LocalState MakeLocalState(Time aNow) const;
   std::vector<Address> PeerAddresses(std::span<const Member> aBalancers) const;
-  void Send(const std::vector<InventoryPeers::Send>& aNotices);
+  void Send(const std::vector<InventoryPeers::OutgoingNotice>& aNotices);
 
   Parts mParts;
   StoreWatchDuty mDuty;
   InventoryPeers mPeers;
   std::shared_ptr<InventoryWatch> mWatch;
   std::shared_ptr<DrainWatch> mDrains;
-  /** Routes that wait for the drains. */
-  FlowInventoryPtr mWaiting;
-  bool mWatches = false;
-  /** The document in force as it is sent to peers, once one asked. */
+  /** Routes that are not in force until the drains are known. */
+  FlowInventoryPtr mPendingInventory;
+  bool mIsWatching = false;
+  /** The current document, compressed at the first request of a peer. */
   InventoryDocument mPacked;
 };
 
--- a/src/passthrough/InventoryMessages.h
+++ b/src/passthrough/InventoryMessages.h
@@ -10,37 +10,39 @@
 
 namespace heatherplank {
 
-/** Tells a balancer which version of the routes the sender has in force. */
+/** Notifies a balancer of the version of the routes that the sender has in
+ * force. */
 struct InventoryNotice
 {
   /** 0: none yet. */
   std::uint64_t mVersion = 0;
-  /** Where the sender takes control connections. */
+  /** Where the sender accepts control connections. */
   Address mControl;
-  /** The sender asks for the receiver's document, if it is newer. */
+  /** The sender requests the receiver's document, if it is newer. */
   bool mWantsDocument = false;
-  /** The answer to such a question: not now, ask another balancer. */
+  /** The response to a document request that the sender can't serve now: the
+   * receiver is to request the document from another balancer. */
   bool mIsBusy = false;
-  /** How long ago the store said, to any balancer, that no routes above
-   * mVersion and no other drains than mDrains are in force; none if the sender
-   * does not know. */
+  /** Time since the store last confirmed, to any balancer, that no routes above
+   * mVersion and no drains other than mDrains are in force; none if unknown to
+   * the sender. */
   std::optional<Duration> mConfirmedAgo;
-  /** The data centres that are drained, as the sender knows. */
+  /** The drained data centres known to the sender. */
   DataCentreDrains mDrains;
 };
 
-/** Tells an agent that its data centre is drained. */
+/** Notifies an agent that its data centre is drained. */
 struct DrainNotice
 {
-  /** Of the DataCentreDrains. */
+  /** DataCentreDrains::mVersion. */
   std::uint64_t mVersion = 0;
 };
 
-/** The routes, as the operator's tools wrote them. */
+/** The routes document, as written by the operator's tools. */
 struct InventoryDocument
 {
   std::uint64_t mVersion = 0;
-  /** The text, packed (src/base/Compression.h). */
+  /** The compressed text (src/base/Compression.h). */
   Bytes mPacked;
 };
 
--- a/src/passthrough/InventoryPeers.cpp
+++ b/src/passthrough/InventoryPeers.cpp
@@ -13,81 +13,81 @@
 {
 }
 
-std::vector<InventoryPeers::Send> InventoryPeers::OnTick(
-  std::span<const Address> aPeers, const Known& aKnown, Time aNow)
+std::vector<InventoryPeers::OutgoingNotice> InventoryPeers::OnTick(
+  std::span<const Address> aPeers, const LocalState& aState, Time aNow)
 {
-  if (aNow - mToldAt < kTellEvery) {
+  if (aNow - mNotifiedAt < kNoticeInterval) {
     return {};
   }
-  return Tell(aPeers, aKnown, aNow);
+  return NotifyPeers(aPeers, aState, aNow);
 }
 
-std::vector<InventoryPeers::Send> InventoryPeers::OnChanged(
-  std::span<const Address> aPeers, const Known& aKnown, Time aNow)
+std::vector<InventoryPeers::OutgoingNotice> InventoryPeers::OnChanged(
+  std::span<const Address> aPeers, const LocalState& aState, Time aNow)
 {
-  return Tell(aPeers, aKnown, aNow);
+  return NotifyPeers(aPeers, aState, aNow);
 }
 
-std::vector<InventoryPeers::Send> InventoryPeers::Tell(
-  std::span<const Address> aPeers, const Known& aKnown, Time aNow)
+std::vector<InventoryPeers::OutgoingNotice> InventoryPeers::NotifyPeers(
+  std::span<const Address> aPeers, const LocalState& aState, Time aNow)
 {
-  mToldAt = aNow;
+  mNotifiedAt = aNow;
   std::vector<Address> chosen;
   std::sample(aPeers.begin(), aPeers.end(), std::back_inserter(chosen), kFanOut,
               mRandom);
-  std::vector<Send> out;
+  std::vector<OutgoingNotice> out;
   out.reserve(chosen.size());
   for (const Address& it : chosen) {
-    out.push_back({ it, MakeNotice(aKnown) });
+    out.push_back({ it, MakeNotice(aState) });
   }
   return out;
 }
 
-InventoryNotice InventoryPeers::MakeNotice(const Known& aKnown) const
+InventoryNotice InventoryPeers::MakeNotice(const LocalState& aState) const
 {
   InventoryNotice out;
-  out.mVersion = aKnown.mVersion;
+  out.mVersion = aState.mVersion;
   out.mControl = mOptions.mSelf;
-  out.mConfirmedAgo = aKnown.mConfirmedAgo;
-  out.mDrains = aKnown.mDrains;
+  out.mConfirmedAgo = aState.mConfirmedAgo;
+  out.mDrains = aState.mDrains;
   return out;
 }
 
-InventoryPeers::Send InventoryPeers::Ask(const Address& aPeer,
-                                         const Known& aKnown, Time aNow)
+InventoryPeers::OutgoingNotice InventoryPeers::RequestDocument(
+  const Address& aPeer, const LocalState& aState, Time aNow)
 {
-  if (mQuestion) {
-    mDocumentWithin = std::min(mDocumentWithin * 2, kDocumentWithinAtMost);
+  if (mPendingRequest) {
+    mDocumentTimeout = std::min(mDocumentTimeout * 2, kMaxDocumentTimeout);
   }
-  mQuestion = { aPeer, aNow + mDocumentWithin };
-  Send out{ aPeer, MakeNotice(aKnown) };
+  mPendingRequest = { aPeer, aNow + mDocumentTimeout };
+  OutgoingNotice out{ aPeer, MakeNotice(aState) };
   out.mNotice.mWantsDocument = true;
   return out;
 }
 
-InventoryPeers::Send InventoryPeers::Busy(const InventoryNotice& aNotice,
-                                          const Known& aKnown) const
+InventoryPeers::OutgoingNotice InventoryPeers::MakeBusyNotice(
+  const InventoryNotice& aNotice, const LocalState& aState) const
 {
-  Send out{ aNotice.mControl, MakeNotice(aKnown) };
+  OutgoingNotice out{ aNotice.mControl, MakeNotice(aState) };
   out.mNotice.mIsBusy = true;
   return out;
 }
 
-std::vector<InventoryPeers::Send> InventoryPeers::OnNotice(
-  const InventoryNotice& aNotice, const Known& aKnown, Time aNow)
+std::vector<InventoryPeers::OutgoingNotice> InventoryPeers::OnNotice(
+  const InventoryNotice& aNotice, const LocalState& aState, Time aNow)
 {
   if (aNotice.mIsBusy) {
-    // The next notice of another peer brings the next question.
-    if (mQuestion && mQuestion->mPeer == aNotice.mControl) {
-      mQuestion.reset();
+    // The next notice from another peer triggers the next request.
+    if (mPendingRequest && mPendingRequest->mPeer == aNotice.mControl) {
+      mPendingRequest.reset();
     }
     return {};
   }
-  if (aNotice.mVersion < aKnown.mVersion) {
-    return { { aNotice.mControl, MakeNotice(aKnown) } };
+  if (aNotice.mVersion < aState.mVersion) {
+    return { { aNotice.mControl, MakeNotice(aState) } };
   }
-  if (aNotice.mVersion > aKnown.mVersion && !IsAsking(aNow)) {
-    return { Ask(aNotice.mControl, aKnown, aNow) };
+  if (aNotice.mVersion > aState.mVersion && !IsDocumentPending(aNow)) {
+    return { RequestDocument(aNotice.mControl, aState, aNow) };
   }
   return {};
 }
@@ -95,12 +95,12 @@
 void InventoryPeers::OnDocument(bool aIsReadable)
 {
   if (aIsReadable) {
-    mQuestion.reset();
-    mDocumentWithin = kDocumentWithin;
+    mPendingRequest.reset();
+    mDocumentTimeout = kDocumentTimeout;
   }
 }
 
-bool InventoryPeers::TakeLink(std::size_t aBytes, Time aNow)
+bool InventoryPeers::ReserveLink(std::size_t aBytes, Time aNow)
 {
   if (mLink.Available(aNow) == 0) {
     return false;
@@ -109,9 +109,9 @@
   return true;
 }
 
-bool InventoryPeers::IsAsking(Time aNow) const
+bool InventoryPeers::IsDocumentPending(Time aNow) const
 {
-  return mQuestion && aNow < mQuestion->mUntil;
+  return mPendingRequest && aNow < mPendingRequest->mDeadline;
 }
 
 } // namespace heatherplank
--- a/src/passthrough/InventoryPeers.h
+++ b/src/passthrough/InventoryPeers.h
@@ -13,61 +13,63 @@
 
 namespace heatherplank {
 
-/** Spreads versions of the routes between balancers, the second way to them
- * beside the store: balancers that do not watch the store, that it turns away,
- * or whose watch went silent, learn of a change from any that heard of it.
+/** Spreads versions of the routes between balancers by gossip, as the second
+ * source beside the store. It serves balancers that do not watch the store,
+ * whose calls the store rejects, or whose watch became unresponsive.
  *
- * Each balancer tells a few others its version twice a second, and at once
- * when it changes. Who hears of a newer one asks for the document; who hears
- * of an older one tells its own.
+ * Each balancer sends its version to a few others twice a second, and at once
+ * when the version changes. The receiver of a newer version requests the
+ * document; the receiver of an older version responds with its own version.
  *
- * Failure met: a document of 1,000 routes takes a link of 2 Mbit/s more than
- * half a second. Asked for at eight peers at once, and again after 250 ms, it
- * came a dozen times to each balancer that restarted; callers' packets waited
- * for seconds behind the copies, and the balancers that sent them were as
- * full. Shown by opening packets that go unanswered at every balancer in the
- * seconds after one of them started. So a balancer has one document under way
- * to it, waits longer after each that did not come, and gives documents no more
- * than a share of its link.
+ * Failure met: a document of 1,000 routes occupies a link of 2 Mbit/s for more
+ * than half a second. A restarted balancer that requested it from eight peers
+ * at once, and again after 250 ms, received a dozen copies. Callers' packets
+ * were queued behind them for seconds, also on the senders' links. It showed as
+ * opening packets without a response at every balancer in the seconds after one
+ * of them started. A balancer therefore requests one document at a time,
+ * doubles the timeout after each that did not arrive, and limits the documents
+ * that it sends to a share of its link.
  *
- * Pure; not thread safe.
+ * No I/O or clock access; not thread safe.
  */
 class InventoryPeers
 {
 public:
-  /** Peers told in one round. Eight reach a thousand balancers in four rounds.
+  /** Peers notified per round. Eight reach a thousand balancers in four rounds.
    */
   static constexpr std::size_t kFanOut = 8;
-  static constexpr Duration kTellEvery = std::chrono::milliseconds(500);
-  /** A document that was asked for comes within this, or another peer is asked:
-   * a packed one takes a thin link some 100 ms, and those before it as long. */
-  static constexpr Duration kDocumentWithin = std::chrono::milliseconds(800);
-  /** The longest such wait. Each document that did not come doubles it: the
-   * link may carry less than its settings say, and copies would fill it. */
-  static constexpr Duration kDocumentWithinAtMost =
+  static constexpr Duration kNoticeInterval = std::chrono::milliseconds(500);
+  /** Time after which another peer is asked for the document. A compressed one
+   * takes about 100 ms on a slow link, and as long may be spent behind
+   * documents queued before it. */
+  static constexpr Duration kDocumentTimeout = std::chrono::milliseconds(800);
+  /** Upper limit of the timeout. Each document that did not arrive doubles it:
+   * the link may be slower than configured, and repeated copies would fill it.
+   */
+  static constexpr Duration kMaxDocumentTimeout =
     std::chrono::milliseconds(3200);
-  /** Of a balancer's link, what documents to its peers may take. */
+  /** The share of a balancer's link for documents to its peers. */
   static constexpr double kLinkShare = 0.25;
 
   struct Options
   {
     /** This balancer's control address. */
     Address mSelf;
-    /** What this balancer's link carries, bytes a second. */
+    /** Capacity of this balancer's link, bytes per second. */
     double mLinkBytesPerSecond = 0;
     std::uint64_t mSeed = 1;
   };
 
-  /** What this balancer knows of the routes. */
-  struct Known
+  /** This balancer's version of the routes and drains. */
+  struct LocalState
   {
-    /** 0 before any are in force. */
+    /** 0 while no routes are in force. */
     std::uint64_t mVersion = 0;
     std::optional<Duration> mConfirmedAgo;
     DataCentreDrains mDrains;
   };
 
-  struct Send
+  struct OutgoingNotice
   {
     Address mTo;
     InventoryNotice mNotice;
@@ -75,56 +77,59 @@
 
   explicit InventoryPeers(const Options& aOptions);
 
-  /** What to send now. aPeers: control addresses of other balancers, seeds
-   * too. */
-  std::vector<Send> OnTick(std::span<const Address> aPeers, const Known& aKnown,
-                           Time aNow);
+  /** The notices to send now. aPeers: control addresses of other balancers,
+   * including seeds. */
+  std::vector<OutgoingNotice> OnTick(std::span<const Address> aPeers,
+                                     const LocalState& aState, Time aNow);
 
-  /** A version came into force here, from wherever: tells peers at once. */
-  std::vector<Send> OnChanged(std::span<const Address> aPeers,
-                              const Known& aKnown, Time aNow);
+  /** A version came into force here, from the store or a peer: notifies peers
+   * at once. */
+  std::vector<OutgoingNotice> OnChanged(std::span<const Address> aPeers,
+                                        const LocalState& aState, Time aNow);
 
-  /** A peer's notice: what to answer, if it asks for no document that it is
-   * owed. */
-  std::vector<Send> OnNotice(const InventoryNotice& aNotice,
-                             const Known& aKnown, Time aNow);
+  /** The notices to send in response to a peer's notice for which
+   * ShouldSendDocument() is false. */
+  std::vector<OutgoingNotice> OnNotice(const InventoryNotice& aNotice,
+                                       const LocalState& aState, Time aNow);
 
-  /** A document came, or bytes that are none. */
+  /** A document arrived. aIsReadable: it is valid. */
   void OnDocument(bool aIsReadable);
 
-  /** Whether the sender of a notice is to be sent the document. */
-  static bool IsOwedDocument(const InventoryNotice& aNotice,
-                             std::uint64_t aVersion)
+  /** Whether to send the document to the sender of a notice. */
+  static bool ShouldSendDocument(const InventoryNotice& aNotice,
+                                 std::uint64_t aVersion)
   {
     return aNotice.mWantsDocument && aVersion > aNotice.mVersion;
   }
 
-  /** Takes aBytes of the link for a document; false if its share is used up,
-   * and the peer is to be told so. */
-  bool TakeLink(std::size_t aBytes, Time aNow);
-  Send Busy(const InventoryNotice& aNotice, const Known& aKnown) const;
+  /** Reserves aBytes of the link for a document; false if the share for
+   * documents is used up: then send MakeBusyNotice() instead. */
+  bool ReserveLink(std::size_t aBytes, Time aNow);
+  OutgoingNotice MakeBusyNotice(const InventoryNotice& aNotice,
+                                const LocalState& aState) const;
 
-  /** A document was asked for and may still come. */
-  bool IsAsking(Time aNow) const;
+  /** Whether a document was requested and its timeout has not passed. */
+  bool IsDocumentPending(Time aNow) const;
 
 private:
-  struct Question
+  struct PendingRequest
   {
     Address mPeer;
-    Time mUntil;
+    Time mDeadline;
   };
 
-  std::vector<Send> Tell(std::span<const Address> aPeers, const Known& aKnown,
-                         Time aNow);
-  InventoryNotice MakeNotice(const Known& aKnown) const;
-  Send Ask(const Address& aPeer, const Known& aKnown, Time aNow);
+  std::vector<OutgoingNotice> NotifyPeers(std::span<const Address> aPeers,
+                                          const LocalState& aState, Time aNow);
+  InventoryNotice MakeNotice(const LocalState& aState) const;
+  OutgoingNotice RequestDocument(const Address& aPeer, const LocalState& aState,
+                                 Time aNow);
 
   const Options mOptions;
   std::minstd_rand mRandom;
   ByteBudget mLink;
-  Time mToldAt{};
-  std::optional<Question> mQuestion;
-  Duration mDocumentWithin = kDocumentWithin;
+  Time mNotifiedAt{};
+  std::optional<PendingRequest> mPendingRequest;
+  Duration mDocumentTimeout = kDocumentTimeout;
 };
 
 } // namespace heatherplank
--- a/src/passthrough/InventoryWatch.cpp
+++ b/src/passthrough/InventoryWatch.cpp
@@ -26,10 +26,10 @@
 {
 }
 
-void InventoryWatch::SetWatchFor(std::optional<Duration> aWait)
+void InventoryWatch::SetWatchDuration(std::optional<Duration> aWait)
 {
   std::lock_guard lock(mLock);
-  mSchedule.SetWatchFor(aWait);
+  mSchedule.SetWatchDuration(aWait);
 }
 
 void InventoryWatch::OnTick()
@@ -109,7 +109,7 @@
   auto effect = WatchSchedule::Effect::Stale;
   {
     std::lock_guard lock(mLock);
-    // No routes yet is an answer: the store is there.
+    // NotFound is a response: the store is available but has no routes yet.
     effect = mSchedule.OnFailure(aCall.mId, aWhy.mKind == ErrorKind::NotFound,
                                  mClock.Now());
   }
@@ -123,8 +123,9 @@
   return Accept(aDocument, "peer");
 }
 
-/** Failure met: a late answer, a stale read or a slow peer brings a version
- * below the one in force, and routes that were dropped serve again. */
+/** Failure met: a delayed response, a stale read or a slow peer delivers a
+ * version below the one in force, and deleted routes are served again. The
+ * version check rejects it. */
 bool InventoryWatch::Accept(const std::string& aDocument,
                             std::string_view aSource)
 {
@@ -181,10 +182,10 @@
   return mSchedule.WatchedAt();
 }
 
-Time InventoryWatch::HeardAt() const
+Time InventoryWatch::LastAnswerAt() const
 {
   std::lock_guard lock(mLock);
-  return mSchedule.HeardAt();
+  return mSchedule.LastAnswerAt();
 }
 
 } // namespace heatherplank
--- a/src/passthrough/InventoryWatch.h
+++ b/src/passthrough/InventoryWatch.h
@@ -14,15 +14,15 @@
 
 namespace heatherplank {
 
-/** Keeps a balancer's routes at the newest version that it has seen, from the
- * store (by WatchSchedule) and from peers; a version never goes back within a
- * process. Thread safe, by its own lock.
+/** Keeps a balancer's routes at the newest version received from the store (by
+ * WatchSchedule) or from peers. The version never decreases within a process.
+ * Thread safe.
  */
 class InventoryWatch : public std::enable_shared_from_this<InventoryWatch>
 {
 public:
-  /** Called with no lock held, for each version in rising order. aDocument is
-   * what it was read from. */
+  /** Called without a lock held, for each version in ascending order.
+   * aDocument: the text that the inventory was parsed from. */
   using OnInventory =
     std::function<void(FlowInventoryPtr, const std::string& aDocument)>;
 
@@ -33,35 +33,35 @@
     WatchSchedule::Options mSchedule;
   };
 
-  /** aClock, aStore and aReader must outlive it, and every call of the store.
-   */
+  /** aClock, aStore and aReader must outlive the watch and every store call. */
   static std::shared_ptr<InventoryWatch> Make(
     const Clock& aClock, ObjectStore& aStore,
     const FlowInventoryReader& aReader, Options aOptions,
     OnInventory aOnInventory);
 
-  /** How long watches wait from now on; none to begin no more calls. A watch
-   * that went silent is noticed after this and the call's time-out; a shorter
-   * wait costs a call each time. */
-  void SetWatchFor(std::optional<Duration> aWait);
+  /** Sets how long each watch waits for a change; none: starts no more calls.
+   * An unresponsive watch is detected after this duration plus the call's
+   * timeout; shorter watches cost more store calls. */
+  void SetWatchDuration(std::optional<Duration> aWait);
 
-  /** Starts the next call when it is due; call it some ten times a second. */
+  /** Starts the next store call when it is due. Call it about ten times a
+   * second. */
   void OnTick();
 
-  /** Reads the object now and forgets the call under way: this process stood
-   * still, or a peer knows a newer version. */
+  /** Reads the object now and abandons the pending call: this process was
+   * stalled. */
   void ReadNow();
 
-  /** A document that a peer sent. False if it can't be read. */
+  /** Accepts a document from a peer. False if it is invalid. */
   bool OnPeerDocument(const std::string& aDocument);
 
-  /** The version in force, or 0, and what it was read from. */
+  /** The version in force, or 0, and the document that it was parsed from. */
   std::uint64_t Version() const;
   std::string Document() const;
 
   /** See WatchSchedule. */
   bool IsStoreLost() const;
-  Time HeardAt() const;
+  Time LastAnswerAt() const;
   Time ConfirmedAt() const;
   Time WatchedAt() const;
 
--- a/src/passthrough/PassthroughProcess.cpp
+++ b/src/passthrough/PassthroughProcess.cpp
@@ -21,7 +21,8 @@
   , mOnSeeds(std::move(aParts.mOnSeeds))
   , mSeeds(aParts.mSettings.mSeeds)
   , mDirectory(BalancerDirectory::Make(
-      *mStore, { aParts.mSettings.mDirectory, aParts.mRegisters, aParts.mSeed },
+      *mStore,
+      { aParts.mSettings.mDirectory, aParts.mRegisteredAddress, aParts.mSeed },
       [this](std::vector<Address> aFound) {
         aFound.insert(aFound.end(), mSeeds.begin(), mSeeds.end());
         mOnSeeds(std::move(aFound));
@@ -98,14 +99,14 @@
   }
 }
 
-void PassthroughProcess::TakeSeeds(const std::vector<Address>& aSeeds)
+void PassthroughProcess::ReplaceSeeds(const std::vector<Address>& aSeeds)
 {
   mSeeds = aSeeds;
   mOnSeeds(mSeeds);
   LogEvent(LogLevel::Info, "settings_reloaded", { { "seeds", mSeeds.size() } });
 }
 
-void PassthroughProcess::RefuseSettings(const Error& aWhy)
+void PassthroughProcess::LogRefusedSettings(const Error& aWhy)
 {
   LogEvent(LogLevel::Error, "settings_refused", { { "why", aWhy.Describe() } });
 }
--- a/src/passthrough/PassthroughProcess.h
+++ b/src/passthrough/PassthroughProcess.h
@@ -21,17 +21,17 @@
 
 namespace heatherplank {
 
-/** What a balancer and an agent of opaque flows have in common: the ways to
- * other processes, to callers, to the store and to the people on call. Runs on
- * one thread.
+/** The parts common to balancers and agents of opaque flows: connections to
+ * other processes, callers and the store, and the admin and metrics servers.
+ * Runs on one thread.
  */
 class PassthroughProcess
 {
 public:
-  /** Whether the process is ready, and if not, why. */
+  /** Whether the process is ready; if not, the reason. */
   using Readiness = AdminServer::Readiness;
   using OnFrame = std::function<void(const Frame&)>;
-  /** Balancers to begin with have changed. */
+  /** The seeds or the balancers found in the directory have changed. */
   using OnSeeds = std::function<void(std::vector<Address>)>;
 
   struct Parts
@@ -40,8 +40,10 @@
     const PlatformAdapter& mAdapter;
     HostId mSelf;
     std::uint64_t mSeed = 0;
-    /** What a balancer writes into the directory; none for an agent. */
-    std::optional<Address> mRegisters;
+    /** The address that a balancer writes into the directory; none for an
+     * agent.
+     */
+    std::optional<Address> mRegisteredAddress;
     Readiness mReady;
     OnFrame mOnFrame;
     OnSeeds mOnSeeds;
@@ -50,20 +52,20 @@
   /** The settings must outlive it. */
   explicit PassthroughProcess(Parts aParts);
 
-  /** Opens the ports for other processes and for people; System with the
-   * remedy if one can't be had. */
+  /** Opens the ports for other processes and for the admin server; System with
+   * the remedy if a port can't be opened. */
   Result<void> Open();
 
-  /** Reads a datagram's envelope; none, and counted, if it is malformed. */
+  /** Decodes a datagram's envelope; none, and counted, if it is malformed. */
   std::optional<Frame> Unwrap(ByteView aDatagram);
   void CountMalformed() { mMalformed.Add(); }
 
   void Steer(const Address& aTo, const SteeredPacket& aPacket);
   void Report(const Address& aBalancer, const PlacementReport& aReport);
-  /** aCaller: the caller's end of the flow. */
+  /** Sends a packet to a caller. aCaller: the caller's address in the flow. */
   void ToCaller(const Address& aCaller, ByteView aPacket);
 
-  /** Writes event counters as gauges, once for each value up to aLast. */
+  /** Exports event counters as gauges, one for each event up to aLast. */
   template<typename Event, typename Count>
   void Export(const char* aName, Event aLast, Count aCount)
   {
@@ -75,30 +77,31 @@
     }
   }
 
-  /** Call it every second or so. */
+  /** Call it about once a second. */
   void EverySecond();
 
-  /** Looks for balancers if aIsLost. Call it some times a second. */
+  /** Searches the directory for balancers if aIsLost: no other process has
+   * responded for a while. Call it several times a second. */
   void TendDirectory(bool aIsLost, Time aNow);
   void RegisterAgain() { mDirectory->RegisterAgain(); }
 
-  /** Seeds of the settings in force. */
+  /** The seeds of the settings in force. */
   const std::vector<Address>& Seeds() const { return mSeeds; }
 
-  /** Takes seeds over from settings that were read again; everything else is
-   * bound to open ports and waits for a restart. Settings that can't be read
-   * change nothing. */
+  /** Applies the seeds of reloaded settings; all other settings are bound to
+   * open ports and take effect at a restart. Invalid settings change nothing.
+   */
   template<typename Settings>
   void OnReread(const Result<Settings>& aSettings)
   {
     if (aSettings) {
-      TakeSeeds(aSettings->mSeeds);
+      ReplaceSeeds(aSettings->mSeeds);
     } else {
-      RefuseSettings(aSettings.error());
+      LogRefusedSettings(aSettings.error());
     }
   }
 
-  /** Takes the entry off the directory, and ends the process after aAfter. */
+  /** Removes the directory entry, and ends the process after aAfter. */
   void StopAfter(Duration aAfter);
 
   SteadyClock mClock;
@@ -111,8 +114,8 @@
   std::unique_ptr<ObjectStore> mStore;
 
 private:
-  void TakeSeeds(const std::vector<Address>& aSeeds);
-  void RefuseSettings(const Error& aWhy);
+  void ReplaceSeeds(const std::vector<Address>& aSeeds);
+  void LogRefusedSettings(const Error& aWhy);
 
   Counter& mMalformed;
   const PassthroughSettings& mSettings;
--- a/src/passthrough/PassthroughSettings.cpp
+++ b/src/passthrough/PassthroughSettings.cpp
@@ -8,21 +8,22 @@
 
 namespace {
 
-constexpr std::int64_t kLargestPort = 65535;
-constexpr std::int64_t kMostFlows = 50000000;
-constexpr std::int64_t kDaySeconds = 86400;
-constexpr std::int64_t kHourMs = 3600000;
-/** Watches of a part of it would be a stream of calls below. */
-constexpr std::int64_t kLeastInForceMs = 500;
-constexpr double kLeastLinkMbps = 0.01;
-constexpr double kMostLinkMbps = 1000000;
-constexpr std::int64_t kMostOffsetMs = kDaySeconds * 1000;
+constexpr std::int64_t kMaxPort = 65535;
+constexpr std::int64_t kMaxFlows = 50000000;
+constexpr std::int64_t kSecondsPerDay = 86400;
+constexpr std::int64_t kMsPerHour = 3600000;
+/** Watches last a share of this time; below it they would cause too many store
+ * calls. */
+constexpr std::int64_t kMinInForceMs = 500;
+constexpr double kMinLinkMbps = 0.01;
+constexpr double kMaxLinkMbps = 1000000;
+constexpr std::int64_t kMaxClockOffsetMs = kSecondsPerDay * 1000;
 
 void ReadShared(JsonReader& aReader, PassthroughSettings& aOut)
 {
   ReadCommon(aReader, aOut);
   aOut.mSeedPort = static_cast<std::uint16_t>(
-    aReader.Integer("seed_port", 0, kLargestPort, aOut.mSeedPort));
+    aReader.Integer("seed_port", 0, kMaxPort, aOut.mSeedPort));
   aOut.mSeeds = ReadAddresses(aReader, "seeds");
   for (Address& it : aOut.mSeeds) {
     it.mPort = aOut.mSeedPort == 0 ? it.mPort : aOut.mSeedPort;
@@ -36,10 +37,10 @@
     aOut.mMetrics = RequiredAddress(aReader, "metrics");
   }
   aOut.mFlowsLastS = static_cast<std::uint32_t>(
-    aReader.Integer("flows_last_s", 1, kDaySeconds, aOut.mFlowsLastS));
+    aReader.Integer("flows_last_s", 1, kSecondsPerDay, aOut.mFlowsLastS));
   aOut.mFaultInjection = aReader.Bool("fault_injection", false);
-  aOut.mClockOffsetMs =
-    aReader.Integer("clock_offset_ms", -kMostOffsetMs, kMostOffsetMs, 0);
+  aOut.mClockOffsetMs = aReader.Integer("clock_offset_ms", -kMaxClockOffsetMs,
+                                        kMaxClockOffsetMs, 0);
 }
 
 void ReadBalancer(JsonReader& aReader, FlowBalancerSettings& aOut)
@@ -49,14 +50,14 @@
   aOut.mRoutesKey = aReader.RequiredString("routes_key");
   aOut.mDrains = aReader.String("drains", "");
   aOut.mMaxHints = static_cast<std::uint32_t>(
-    aReader.Integer("max_hints", 1, kMostFlows, aOut.mMaxHints));
+    aReader.Integer("max_hints", 1, kMaxFlows, aOut.mMaxHints));
   aOut.mLinkMbps =
-    aReader.Number("link_mbps", kLeastLinkMbps, kMostLinkMbps, aOut.mLinkMbps);
+    aReader.Number("link_mbps", kMinLinkMbps, kMaxLinkMbps, aOut.mLinkMbps);
   aOut.mRoutesInForceWithinMs = static_cast<std::uint32_t>(
-    aReader.Integer("routes_in_force_within_ms", kLeastInForceMs, kHourMs,
+    aReader.Integer("routes_in_force_within_ms", kMinInForceMs, kMsPerHour,
                     aOut.mRoutesInForceWithinMs));
   aOut.mDrainsInForceWithinMs = static_cast<std::uint32_t>(
-    aReader.Integer("drains_in_force_within_ms", kLeastInForceMs, kHourMs,
+    aReader.Integer("drains_in_force_within_ms", kMinInForceMs, kMsPerHour,
                     aOut.mRoutesInForceWithinMs));
 }
 
@@ -67,10 +68,10 @@
   aOut.mHostInbox = RequiredAddress(aReader, "host_inbox");
   aOut.mHostOutbox = RequiredAddress(aReader, "host_outbox");
   aOut.mHostCalls = RequiredAddress(aReader, "host_calls");
-  aOut.mHostHeartbeatMs = static_cast<std::uint32_t>(
-    aReader.Integer("host_heartbeat_ms", 10, kHourMs, aOut.mHostHeartbeatMs));
+  aOut.mHostHeartbeatMs = static_cast<std::uint32_t>(aReader.Integer(
+    "host_heartbeat_ms", 10, kMsPerHour, aOut.mHostHeartbeatMs));
   aOut.mMaxFlows = static_cast<std::uint32_t>(
-    aReader.Integer("max_flows", 1, kMostFlows, aOut.mMaxFlows));
+    aReader.Integer("max_flows", 1, kMaxFlows, aOut.mMaxFlows));
 }
 
 } // namespace
--- a/src/passthrough/PassthroughSettings.h
+++ b/src/passthrough/PassthroughSettings.h
@@ -12,47 +12,49 @@
 
 namespace heatherplank {
 
-/** What both kinds of process of the pass-through path are told. */
+/** Settings common to the balancers and agents of the pass-through path. */
 struct PassthroughSettings : ProcessSettings
 {
-  /** Control addresses of balancers to begin with; more are learnt. */
+  /** Control addresses of the balancers contacted first; others are discovered
+   * through them. */
   std::vector<Address> mSeeds;
-  /** Seeds take control connections at this port, whatever port is listed; 0:
-   * at the listed one. */
+  /** Replaces the port of every seed; 0: each seed's listed port is used. */
   std::uint16_t mSeedPort = 0;
-  /** The kind of the store's objects under which balancers are found by those
-   * that their seeds lead nowhere; empty: no such objects. */
+  /** The kind of the store's objects that register balancers, for processes
+   * whose seeds are all unreachable; empty: no directory. */
   std::string mDirectory;
-  /** Packets to callers go to this port of the caller's machine, taken from the
-   * address at the key "caller_port_of"; 0: to the port of the flow itself. */
+  /** Port to which packets to callers are sent, taken from the address at the
+   * key "caller_port_of"; 0: the caller's port of the flow. */
   std::uint16_t mCallerPort = 0;
-  /** HTTP: metrics alone, beside the admin port; none if it is not set. */
+  /** HTTP address that serves only metrics, in addition to the admin port; none
+   * if it is not set. */
   Address mMetrics;
-  /** Flows that are older may be forgotten, s. */
+  /** Flows older than this may be removed, s. */
   std::uint32_t mFlowsLastS = 60;
-  /** Experiments only: the admin port takes /fault/cut and /fault/heal. */
+  /** Experiments only: the admin port accepts /fault/cut and /fault/heal. */
   bool mFaultInjection = false;
-  /** Experiments only: added to the time of day, ms, as by a wrong clock. */
+  /** Experiments only: added to the time of day to simulate a wrong clock, ms.
+   */
   std::int64_t mClockOffsetMs = 0;
 };
 
 /** A balancer of opaque flows. */
 struct FlowBalancerSettings : PassthroughSettings
 {
-  /** UDP: packets of callers. */
+  /** UDP: receives callers' packets. */
   Address mIngress;
   /** The store's key of the routes. */
   std::string mRoutesKey;
-  /** The kind of the store's objects that are named after the data centres that
-   * the operator drains; empty: none is ever drained. */
+  /** The kind of the store's objects whose names are the data centres that the
+   * operator drains; empty: drains are disabled. */
   std::string mDrains;
-  /** Flows whose host it remembers; a bound, since hints may be lost. */
+  /** Maximum number of flows whose host is cached as a hint. The cache may be
+   * bounded, since hints may be lost. */
   std::uint32_t mMaxHints = 65536;
-  /** What this machine's link carries, Mbit/s; documents to other balancers
-   * take a share of it. */
+  /** Capacity of this VM's link, Mbit/s; documents to other balancers use a
+   * share of it. */
   double mLinkMbps = 1000;
-  /** Routes that the operator changed are in force everywhere within this, ms.
-   */
+  /** Time within which changed routes must be in force on all balancers, ms. */
   std::uint32_t mRoutesInForceWithinMs = 3000;
   /** The same for drains, ms. */
   std::uint32_t mDrainsInForceWithinMs = 3000;
@@ -62,24 +64,25 @@
 struct FlowAgentSettings : PassthroughSettings
 {
   std::string mService;
-  /** UDP: where the host takes packets. */
+  /** UDP: where the host receives packets. */
   Address mHostInbox;
   /** UDP: where the host sends packets to. */
   Address mHostOutbox;
-  /** HTTP: where the host announces itself. */
+  /** HTTP: receives the host's heartbeats and other calls. */
   Address mHostCalls;
-  /** How often the host announces itself, ms. */
+  /** Interval of the host's heartbeats, ms. */
   std::uint32_t mHostHeartbeatMs = 1200;
-  /** Flows that it remembers at most. */
+  /** Maximum number of flows that the agent tracks. */
   std::uint32_t mMaxFlows = 16384;
 };
 
-/** Read settings, JSON with comments; InvalidInput that lists every fault with
- * file, key, what was found and the remedy. Thread safe. */
+/** Read settings from a file, JSON with comments. Errors: InvalidInput that
+ * lists every fault with file, key, the value found and the remedy. Thread
+ * safe. */
 Result<FlowBalancerSettings> ReadFlowBalancerSettings(const std::string& aFile);
 Result<FlowAgentSettings> ReadFlowAgentSettings(const std::string& aFile);
 
-/** The same from text; aFile names it in messages. */
+/** The same from text; aFile is the name used in messages. */
 Result<FlowBalancerSettings> ParseFlowBalancerSettings(
   std::string_view aText, const std::string& aFile);
 Result<FlowAgentSettings> ParseFlowAgentSettings(std::string_view aText,
--- a/src/passthrough/PlatformAdapter.h
+++ b/src/passthrough/PlatformAdapter.h
@@ -14,8 +14,8 @@
 
 namespace heatherplank {
 
-/** The formats and calls of the platform that the pass-through path runs on,
- * behind the product's own types. Thread safe. */
+/** Translates the formats and calls of the platform below the pass-through path
+ * to this project's types. Thread safe. */
 class PlatformAdapter
 {
 public:
@@ -24,15 +24,16 @@
   virtual const PacketFormat& Packets() const = 0;
   virtual const FlowInventoryReader& Inventories() const = 0;
 
-  /** A host's call to its agent; Malformed with the remedy if it is none. */
+  /** Parses a host's call to its agent; Malformed with the remedy if the
+   * request is invalid. */
   virtual Result<HostAnnouncement> ReadHostCall(
     const HttpRequest& aRequest) const = 0;
 
-  /** The answer to a host's call; an error is told to the host. */
+  /** The response to a host's call; it reports an error to the host. */
   virtual HttpResponse AnswerHostCall(const HttpRequest& aRequest,
                                       const Result<void>& aOutcome) const = 0;
 
-  /** The store at an address. */
+  /** Creates a client of the store at an address. */
   virtual std::unique_ptr<ObjectStore> MakeStore(
     const boost::asio::any_io_executor& aExecutor,
     const Address& aStore) const = 0;
--- a/src/passthrough/StoreWatchDuty.cpp
+++ b/src/passthrough/StoreWatchDuty.cpp
@@ -9,18 +9,19 @@
 
 namespace {
 
-/** Any fixed value: all balancers choose the same watchers by it. */
+/** Any fixed value, the same on all balancers: they select the same watchers.
+ */
 constexpr std::uint64_t kRankSeed = 0x726f75746573;
 
-/** Of the time in which routes come into force, how long a watch waits at most.
- */
+/** The longest watch, as a share of the propagation timeout. */
 constexpr double kWatchShare = 0.5;
-/** The same for how long a confirmation is relied on. What is left is for the
- * call to the store and the document. */
-constexpr double kTrustShare = 0.7;
-/** Balancers that miss a confirmation turn to the store over this share of the
- * time, each at its own moment; the first that hears it tells the others. */
-constexpr double kSpreadShare = 0.1;
+/** How long a confirmation is valid, as a share of the propagation timeout. The
+ * rest is left for the store call and the transfer of the document. */
+constexpr double kConfirmationShare = 0.7;
+/** Balancers without a confirmation start to watch at different times, spread
+ * over this share of the propagation timeout; the first one that gets a
+ * confirmation notifies the others. */
+constexpr double kJitterShare = 0.1;
 
 Duration Scale(Duration aSpan, double aFactor)
 {
@@ -29,7 +30,7 @@
       static_cast<double>(aSpan.count()) * aFactor));
 }
 
-double UnitOf(std::uint64_t aHash)
+double ToUnitInterval(std::uint64_t aHash)
 {
   return static_cast<double>(aHash % 1024) / 1024;
 }
@@ -39,11 +40,11 @@
   std::uint64_t mScore = 0;
   HostId mHost;
   DataCentreId mDataCentre;
-  /** The best of its data centre. */
+  /** Has the highest score in its data centre. */
   bool mIsBest = false;
 };
 
-Ranked RankOf(HostId aHost, DataCentreId aDataCentre)
+Ranked MakeRanked(HostId aHost, DataCentreId aDataCentre)
 {
   return { MixHash(kRankSeed, aHost.mValue), aHost, aDataCentre };
 }
@@ -52,10 +53,10 @@
 
 StoreWatchDuty::StoreWatchDuty(const Options& aOptions)
   : mOptions(aOptions)
-  , mTrustFor(
-      Scale(aOptions.mInForceWithin,
-            kTrustShare +
-              kSpreadShare * UnitOf(MixHash(aOptions.mSelf.mValue, kRankSeed))))
+  , mConfirmationLifetime(Scale(
+      aOptions.mPropagationTimeout,
+      kConfirmationShare + kJitterShare * ToUnitInterval(MixHash(
+                                            aOptions.mSelf.mValue, kRankSeed))))
   , mRandom(static_cast<std::uint32_t>(aOptions.mSeed))
 {
 }
@@ -65,44 +66,49 @@
   mConfirmedAt = std::max(mConfirmedAt.value_or(aAt), aAt);
 }
 
-std::optional<Duration> StoreWatchDuty::WatchFor(
-  std::span<const Member> aOthers, bool aHasRoutes, bool aIsAsking, Time aNow)
+std::optional<Duration> StoreWatchDuty::WatchDuration(
+  std::span<const Member> aOthers, bool aHasRoutes, bool aIsDocumentPending,
+  Time aNow)
 {
-  if (!IsDue(aOthers, aHasRoutes, aIsAsking, aNow)) {
+  if (!ShouldWatch(aOthers, aHasRoutes, aIsDocumentPending, aNow)) {
     return std::nullopt;
   }
-  if (aOthers.size() < kAllUpTo) {
-    return kWatchForIfAll;
+  if (aOthers.size() < kSmallFleetSize) {
+    return kSmallFleetWatchDuration;
   }
-  // A change ends all watches at once; drawn waits keep the confirmations that
-  // follow apart.
-  double drawn = std::uniform_real_distribution<double>(0.5, 1)(mRandom);
-  return Scale(mOptions.mInForceWithin, kWatchShare * drawn);
+  // A change ends all watches at once; random durations spread the
+  // confirmations that follow.
+  double factor = std::uniform_real_distribution<double>(0.5, 1)(mRandom);
+  return Scale(mOptions.mPropagationTimeout, kWatchShare * factor);
 }
 
-bool StoreWatchDuty::IsDue(std::span<const Member> aOthers, bool aHasRoutes,
-                           bool aIsAsking, Time aNow) const
+bool StoreWatchDuty::ShouldWatch(std::span<const Member> aOthers,
+                                 bool aHasRoutes, bool aIsDocumentPending,
+                                 Time aNow) const
 {
   Duration age = aNow - mOptions.mStartedAt;
   if (!aHasRoutes) {
-    return !aIsAsking && age >= kPeersAnswerWithin;
+    return !aIsDocumentPending && age >= kPeerResponseTimeout;
   }
-  if (!mConfirmedAt || aNow - *mConfirmedAt >= mTrustFor) {
+  if (!mConfirmedAt || aNow - *mConfirmedAt >= mConfirmationLifetime) {
     return true;
   }
-  return age >= kSeesOthersWithin && IsChosen(aOthers);
+  return age >= kPeerDiscoveryTimeout && IsSelected(aOthers);
 }
 
-/** The best ranked of each data centre come first, in the order of their
- * ranks; then, where there are fewer data centres than watchers, the others. */
-bool StoreWatchDuty::IsChosen(std::span<const Member> aOthers) const
+/** Whether this balancer is one of the watchers. They are taken from the
+ * balancers with the highest score of each data centre, in the order of their
+ * scores, and then, if there are fewer data centres than watchers, from the
+ * others. */
+bool StoreWatchDuty::IsSelected(std::span<const Member> aOthers) const
 {
-  if (aOthers.size() < kAllUpTo) {
+  if (aOthers.size() < kSmallFleetSize) {
     return true;
   }
-  std::vector<Ranked> ranked{ RankOf(mOptions.mSelf, mOptions.mDataCentre) };
+  std::vector<Ranked> ranked{ MakeRanked(mOptions.mSelf,
+                                         mOptions.mDataCentre) };
   for (const Member& it : aOthers) {
-    ranked.push_back(RankOf(it.mHost, it.mDataCentre));
+    ranked.push_back(MakeRanked(it.mHost, it.mDataCentre));
   }
   std::unordered_map<DataCentreId, std::uint64_t> bestOf;
   for (const Ranked& it : ranked) {
@@ -112,7 +118,7 @@
   for (Ranked& it : ranked) {
     it.mIsBest = it.mScore == bestOf[it.mDataCentre];
   }
-  auto last = ranked.begin() + kWatchers;
+  auto last = ranked.begin() + kWatcherCount;
   std::ranges::partial_sort(ranked, last,
                             [](const auto& aLeft, const auto& aRight) {
                               return std::tie(aLeft.mIsBest, aLeft.mScore) >
--- a/src/passthrough/StoreWatchDuty.h
+++ b/src/passthrough/StoreWatchDuty.h
@@ -11,70 +11,80 @@
 namespace heatherplank {
 
 /** Decides whether a balancer watches the store for changes of the routes, or
- * relies on others that do.
+ * relies on other balancers that do.
  *
- * Pattern: hundreds of balancers each hold a watch, and at each change each of
- * them reads the whole document, while the store's rates stay and every call
- * is paid for. A few watch in a large fleet, each in another data centre, and
- * the others hear of changes from them (InventoryPeers).
+ * If each of hundreds of balancers watched, each would read the whole document
+ * at every change, while the store's rate limits stay the same and every call
+ * is billed. In a large fleet a few balancers watch, in different data centres,
+ * and notify the others of changes (InventoryPeers).
  *
- * Failure met: the few are cut off from the store, dead or stopped, and the
- * others go on with old routes without knowing. So it spreads with the versions
- * when the store last confirmed them, and who has had no confirmation for
- * mTrustFor watches by itself until one comes. A fleet whose members see each
- * other differently has a watcher more or less, and nothing else happens.
+ * Failure met: the watchers are cut off from the store, dead or stopped, and
+ * the others keep old routes without knowing. Notices therefore carry the time
+ * of the store's last confirmation besides the version, and a balancer without
+ * a confirmation for mConfirmationLifetime watches until one arrives. If
+ * balancers have different membership views, the only effect is one watcher
+ * more or less.
  *
- * Pure; not thread safe.
+ * No I/O or clock access; not thread safe.
  */
 class StoreWatchDuty
 {
 public:
-  /** One in a data centre may be cut off with it, a second by chance. */
-  static constexpr std::size_t kWatchers = 3;
-  /** Up to so many balancers all watch: their calls are fewer than those of
-   * kWatchers, whose watches must be short to confirm often. */
-  static constexpr std::size_t kAllUpTo = 8;
-  static constexpr Duration kWatchForIfAll = std::chrono::milliseconds(5000);
-  /** After its start a balancer does not see the others yet. */
-  static constexpr Duration kSeesOthersWithin = std::chrono::milliseconds(1000);
-  /** Peers that run answer a notice within this; then the store is asked. */
-  static constexpr Duration kPeersAnswerWithin = std::chrono::milliseconds(40);
+  /** Tolerates two failures: one watcher is cut off along with its data centre,
+   * and a second one fails independently. */
+  static constexpr std::size_t kWatcherCount = 3;
+  /** In a fleet of up to this size every balancer watches. This takes fewer
+   * calls than kWatcherCount watchers, whose watches must be short to confirm
+   * often. */
+  static constexpr std::size_t kSmallFleetSize = 8;
+  static constexpr Duration kSmallFleetWatchDuration =
+    std::chrono::milliseconds(5000);
+  /** Time after the start in which a balancer may not have discovered the
+   * others yet. */
+  static constexpr Duration kPeerDiscoveryTimeout =
+    std::chrono::milliseconds(1000);
+  /** Running peers respond to a notice within this time; after it a balancer
+   * without routes reads the store. */
+  static constexpr Duration kPeerResponseTimeout =
+    std::chrono::milliseconds(40);
 
   struct Options
   {
     HostId mSelf;
     DataCentreId mDataCentre;
-    /** Routes come into force everywhere within this. */
-    Duration mInForceWithin = std::chrono::milliseconds(3000);
+    /** Changed routes must be in force on all balancers within this time. */
+    Duration mPropagationTimeout = std::chrono::milliseconds(3000);
     Time mStartedAt{};
     std::uint64_t mSeed = 1;
   };
 
   explicit StoreWatchDuty(const Options& aOptions);
 
-  /** Another balancer knows that the store confirmed at aAt what is in force
-   * here. */
+  /** Another balancer reports that the store confirmed at aAt the version that
+   * is in force here. */
   void OnConfirmed(Time aAt);
 
-  /** This process did not run: what it was told since may be old. */
-  void OnStandstill() { mConfirmedAt.reset(); }
+  /** This process was stalled: notices received since may be old. */
+  void OnProcessStall() { mConfirmedAt.reset(); }
 
   /** How long the next watch waits; none if this balancer does not watch.
-   * aOthers: the other balancers in view. aHasRoutes: some are in force here.
-   * aIsAsking: a document is on its way from a peer. */
-  std::optional<Duration> WatchFor(std::span<const Member> aOthers,
-                                   bool aHasRoutes, bool aIsAsking, Time aNow);
+   * aOthers: the other balancers in the membership view. aHasRoutes: routes are
+   * in force here. aIsDocumentPending: a document was requested from a peer. */
+  std::optional<Duration> WatchDuration(std::span<const Member> aOthers,
+                                        bool aHasRoutes,
+                                        bool aIsDocumentPending, Time aNow);
 
-  /** When the store confirmed what is in force here, as others know. */
+  /** When the store last confirmed the version in force here, as reported by
+   * other balancers. */
   std::optional<Time> ConfirmedAt() const { return mConfirmedAt; }
 
 private:
-  bool IsDue(std::span<const Member> aOthers, bool aHasRoutes, bool aIsAsking,
-             Time aNow) const;
-  bool IsChosen(std::span<const Member> aOthers) const;
+  bool ShouldWatch(std::span<const Member> aOthers, bool aHasRoutes,
+                   bool aIsDocumentPending, Time aNow) const;
+  bool IsSelected(std::span<const Member> aOthers) const;
 
   const Options mOptions;
-  const Duration mTrustFor;
+  const Duration mConfirmationLifetime;
   std::minstd_rand mRandom;
   std::optional<Time> mConfirmedAt;
 };
--- a/src/passthrough/WatchSchedule.cpp
+++ b/src/passthrough/WatchSchedule.cpp
@@ -13,24 +13,24 @@
 
 std::optional<WatchSchedule::Call> WatchSchedule::Next(Time aNow)
 {
-  bool wanted = mWatchFor.has_value() || mReadOnce;
-  if (!wanted || mCalling || aNow < mNextAt) {
+  bool wanted = mWatchDuration.has_value() || mReadOnce;
+  if (!wanted || mCallPending || aNow < mNextAt) {
     return std::nullopt;
   }
   mReadOnce = false;
-  mCalling = true;
+  mCallPending = true;
   mCalledAt = aNow;
   ++mCall.mId;
   mCall.mAfter = mVersion;
-  mCall.mWait =
-    mVersion == 0 ? Duration::zero() : mWatchFor.value_or(Duration::zero());
+  mCall.mWait = mVersion == 0 ? Duration::zero()
+                              : mWatchDuration.value_or(Duration::zero());
   return mCall;
 }
 
 void WatchSchedule::ReadNow(Time aNow)
 {
   ++mCall.mId;
-  mCalling = false;
+  mCallPending = false;
   mReadOnce = true;
   mVersion = 0;
   mNextAt = aNow;
@@ -38,10 +38,10 @@
 
 bool WatchSchedule::EndCall(std::uint64_t aCall)
 {
-  if (!mCalling || aCall != mCall.mId) {
+  if (!mCallPending || aCall != mCall.mId) {
     return false;
   }
-  mCalling = false;
+  mCallPending = false;
   return true;
 }
 
@@ -53,22 +53,24 @@
     return Effect::Stale;
   }
   bool regained = std::exchange(mStoreLost, false);
-  mHeardAt = aNow;
-  bool waited = aNow - mCalledAt >= mOptions.mShortestWatch;
+  mLastAnswerAt = aNow;
+  bool waited = aNow - mCalledAt >= mOptions.mMinWatchDuration;
   if (aIsChange || waited) {
     mBackoff.Reset();
     mNextAt = aNow;
   } else {
     mNextAt = aNow + mOptions.mFirstPause + mBackoff.Next();
   }
-  // A change is told when it happens, whenever the watch began.
-  bool isEvent = aIsChange && mVersion != 0;
-  mConfirmedAt = isEvent ? aNow : std::min(aNow, mCalledAt + mCall.mWait);
+  // The store reports a change when it happens, however long ago the watch
+  // began.
+  bool isWatchedChange = aIsChange && mVersion != 0;
+  mConfirmedAt =
+    isWatchedChange ? aNow : std::min(aNow, mCalledAt + mCall.mWait);
   if (mCall.mAfter != 0) {
     mWatchedAt = mConfirmedAt;
   }
   mVersion = aVersion;
-  return regained ? Effect::StoreRegained : Effect::Taken;
+  return regained ? Effect::StoreRegained : Effect::Accepted;
 }
 
 WatchSchedule::Effect WatchSchedule::OnFailure(std::uint64_t aCall,
@@ -80,7 +82,7 @@
   mNextAt = aNow + mBackoff.Next();
   mVersion = 0;
   bool lost = !aStoreAnswered && !std::exchange(mStoreLost, true);
-  return lost ? Effect::StoreLost : Effect::Taken;
+  return lost ? Effect::StoreLost : Effect::Accepted;
 }
 
 } // namespace heatherplank
--- a/src/passthrough/WatchSchedule.h
+++ b/src/passthrough/WatchSchedule.h
@@ -8,80 +8,88 @@
 
 namespace heatherplank {
 
-/** When to read and watch something in the store, and what its answers prove.
+/** Schedules reads and watches of data in the store, and derives from the
+ * responses how recent the local copy is.
  *
- * A watch may hear nothing for good: its connection went silent, or the store
- * cut it off without a word. So a watch waits a bounded time, and after each
- * failure the whole is read, never from where the watch had been.
+ * A watch may never return: its connection became unresponsive, or the store
+ * dropped the watch without an error. Each watch therefore waits a bounded
+ * time, and after each failure all data is read again instead of resuming the
+ * watch.
  *
- * Pure; not thread safe.
+ * No I/O or clock access; not thread safe.
  */
 class WatchSchedule
 {
 public:
   struct Options
   {
-    /** A watch that ends with nothing sooner than this did not wait: the next
-     * call pauses, or a store that answers at once would be called in a
-     * stream. */
-    Duration mShortestWatch = std::chrono::milliseconds(250);
+    /** A watch that returns without a change sooner than this did not wait. The
+     * next call is then delayed: a store that returns at once would otherwise
+     * be called in a tight loop. */
+    Duration mMinWatchDuration = std::chrono::milliseconds(250);
     Duration mFirstPause = std::chrono::milliseconds(100);
     Duration mLongestPause = std::chrono::milliseconds(1500);
     std::uint64_t mSeed = 1;
   };
 
-  /** A call to make. */
+  /** A store call to start. */
   struct Call
   {
     std::uint64_t mId = 0;
-    /** The store's version to watch from; 0 to read the whole at once. */
+    /** The store's version to watch from; 0 to read all data at once. */
     std::uint64_t mAfter = 0;
     Duration mWait{};
   };
 
-  /** What an answer meant. */
+  /** The effect of a response or failure. */
   enum class Effect : std::uint8_t
   {
-    /** It is to a call that was given up; it says nothing. */
+    /** It belongs to an abandoned call and is ignored. */
     Stale,
-    Taken,
-    /** Taken, and the store is lost by it, or answers again. */
+    Accepted,
+    /** Accepted; it shows that the store became unavailable, or available
+     * again.
+     */
     StoreLost,
     StoreRegained,
   };
 
   explicit WatchSchedule(const Options& aOptions);
 
-  /** How long watches wait from now on; none to begin no more calls. */
-  void SetWatchFor(std::optional<Duration> aWait) { mWatchFor = aWait; }
+  /** Sets how long each watch waits for a change; none: starts no more calls,
+   * except reads by ReadNow(). */
+  void SetWatchDuration(std::optional<Duration> aWait)
+  {
+    mWatchDuration = aWait;
+  }
 
-  /** The call that is due, if any; one at a time. */
+  /** The call that is due, if any; at most one call is pending at a time. */
   std::optional<Call> Next(Time aNow);
 
-  /** The whole is to be read now, whether it is watched or not; the call under
-   * way is given up. */
+  /** Makes a read of all data due now, also while watching is off; abandons the
+   * pending call. */
   void ReadNow(Time aNow);
 
-  /** The call was answered. aVersion: where to watch from next. */
+  /** The call succeeded. aVersion: the version to watch from next. */
   Effect OnAnswer(std::uint64_t aCall, bool aIsChange, std::uint64_t aVersion,
                   Time aNow);
 
-  /** The call failed. aStoreAnswered: there is nothing to read, but the store
-   * is there. */
+  /** The call failed. aStoreAnswered: the store responded, but there is nothing
+   * to read. */
   Effect OnFailure(std::uint64_t aCall, bool aStoreAnswered, Time aNow);
 
   /** The last call failed, and none has succeeded since. */
   bool IsStoreLost() const { return mStoreLost; }
 
-  /** When the store last answered; zero if it never did. */
-  Time HeardAt() const { return mHeardAt; }
+  /** When the store last responded; zero if it never did. */
+  Time LastAnswerAt() const { return mLastAnswerAt; }
 
-  /** When the store last said that nothing newer is in force; zero if it never
-   * did. An answer may have waited on the way here, so it counts from when the
-   * store gave it at the earliest. */
+  /** When the store last confirmed that nothing newer is in force; zero if it
+   * never did. A response may have been delayed on its way, so it counts from
+   * the earliest time at which the store can have sent it. */
   Time ConfirmedAt() const { return mConfirmedAt; }
 
-  /** The same of answers to watches alone. */
+  /** As ConfirmedAt(), from responses to watches only. */
   Time WatchedAt() const { return mWatchedAt; }
 
 private:
@@ -89,16 +97,16 @@
 
   const Options mOptions;
   Backoff mBackoff;
-  std::optional<Duration> mWatchFor;
+  std::optional<Duration> mWatchDuration;
   bool mReadOnce = false;
-  /** The call under way; answers to others are dropped. */
+  /** The pending or last call; responses to other calls are dropped. */
   Call mCall;
-  bool mCalling = false;
+  bool mCallPending = false;
   Time mNextAt{};
   Time mCalledAt{};
   std::uint64_t mVersion = 0;
   bool mStoreLost = false;
-  Time mHeardAt{};
+  Time mLastAnswerAt{};
   Time mConfirmedAt{};
   Time mWatchedAt{};
 };
--- a/tests/DrainWatchTest.cpp
+++ b/tests/DrainWatchTest.cpp
@@ -12,8 +12,9 @@
 
 namespace {
 
-/** A store that holds watches of names until the test answers them. */
-class HeldNames final : public FakeObjectStore
+/** A store whose watches of names stay pending until the test completes them.
+ */
+class ManualNameStore final : public FakeObjectStore
 {
 public:
   struct Call
@@ -21,19 +22,19 @@
     std::uint64_t mAfter = 0;
     Done<NameChange> mDone;
   };
-  std::deque<Call> mHeld;
+  std::deque<Call> mPending;
 
   void WatchNames(std::string_view, std::uint64_t aAfter, Duration,
                   Done<NameChange> aDone) override
   {
-    mHeld.push_back({ aAfter, std::move(aDone) });
+    mPending.push_back({ aAfter, std::move(aDone) });
   }
 
   void Answer(std::uint64_t aAsOf,
               std::optional<std::vector<std::string>> aNames)
   {
-    Call call = std::move(mHeld.front());
-    mHeld.pop_front();
+    Call call = std::move(mPending.front());
+    mPending.pop_front();
     call.mDone(NameChange{ aAsOf, std::move(aNames) });
   }
 };
@@ -48,15 +49,15 @@
 TEST_GROUP(DrainWatch)
 {
   ManualClock mClock;
-  HeldNames mStore;
-  std::vector<DataCentreDrains> mSeen;
+  ManualNameStore mStore;
+  std::vector<DataCentreDrains> mReported;
   std::shared_ptr<DrainWatch> mWatch = DrainWatch::Make(
     mClock, mStore, { .mKind = "drains", .mSchedule = {} },
-    [this](const DataCentreDrains& aIt) { mSeen.push_back(aIt); });
+    [this](const DataCentreDrains& aIt) { mReported.push_back(aIt); });
 
   void setup() override
   {
-    mWatch->SetWatches(true);
+    mWatch->SetWatching(true);
     mWatch->OnTick();
   }
 
@@ -66,71 +67,76 @@
   }
 };
 
-TEST(DrainWatch, ReadsThenWatchesFromThere)
+TEST(DrainWatch, WatchesFromTheVersionOfTheFirstRead)
 {
   CHECK_FALSE(mWatch->IsKnown());
-  CHECK_EQUAL(0, mStore.mHeld[0].mAfter);
+  CHECK_EQUAL(0, mStore.mPending[0].mAfter);
   mStore.Answer(100, std::vector<std::string>{});
   CHECK_TRUE(mWatch->IsKnown());
-  CHECK_EQUAL(1, mSeen.size());
-  CHECK_EQUAL(100, mStore.mHeld[0].mAfter);
+  CHECK_EQUAL(1, mReported.size());
+  CHECK_EQUAL(100, mStore.mPending[0].mAfter);
   mStore.Answer(104, std::vector<std::string>{ "b", "a" });
   CHECK_TRUE(IsDrained("a"));
   CHECK_TRUE(IsDrained("b"));
   mStore.Answer(107, std::vector<std::string>{ "b" });
   CHECK_FALSE(IsDrained("a"));
-  CHECK_EQUAL(3, mSeen.size());
+  CHECK_EQUAL(3, mReported.size());
 }
 
-// Other objects of the store change: the version moves on, nobody is told.
-TEST(DrainWatch, AWatchWithoutNewsOnlyMovesOn)
+// Other objects of the store change: the version increases, and no callback
+// runs.
+TEST(DrainWatch, AWatchWithoutChangeOnlyAdvancesTheVersion)
 {
   mStore.Answer(100, std::vector<std::string>{ "a" });
   mClock.Advance(2000ms);
   mStore.Answer(150, std::nullopt);
-  CHECK_EQUAL(150, mStore.mHeld[0].mAfter);
+  CHECK_EQUAL(150, mStore.mPending[0].mAfter);
   CHECK_EQUAL(150, mWatch->Drains().mVersion);
   CHECK_TRUE(IsDrained("a"));
-  CHECK_EQUAL(1, mSeen.size());
+  CHECK_EQUAL(1, mReported.size());
 }
 
-// Guards against a drain that is taken back by word of a balancer behind a cut.
-TEST(DrainWatch, AnOlderStateOfAPeerIsNotBelieved)
+// Guards against a drain that is undone by an outdated notice of an isolated
+// balancer.
+TEST(DrainWatch, AnOlderVersionFromAPeerIsIgnored)
 {
   mStore.Answer(100, std::vector<std::string>{ "a" });
-  mWatch->OnPeer({ 99, {} });
+  mWatch->OnPeerDrains({ 99, {} });
   CHECK_TRUE(IsDrained("a"));
-  mWatch->OnPeer({ 101, {} });
+  mWatch->OnPeerDrains({ 101, {} });
   CHECK_FALSE(IsDrained("a"));
-  mWatch->OnPeer(Drained(100, "a"));
+  mWatch->OnPeerDrains(Drained(100, "a"));
   CHECK_FALSE(IsDrained("a"));
 }
 
-// Guards against a balancer that starts while the store is away and places
-// flows on hosts that its neighbours know to be drained.
-TEST(DrainWatch, APeersWordIsEnoughWhileTheStoreIsAway)
+// Guards against a balancer that starts while the store is unavailable and
+// places flows on hosts in a data centre that its peers know to be drained.
+TEST(DrainWatch, DrainsFromAPeerSufficeWhileTheStoreIsUnavailable)
 {
-  mStore.mHeld.front().mDone(Fail(ErrorKind::Unavailable, "away", "wait"));
+  mStore.mPending.front().mDone(
+    Fail(ErrorKind::Unavailable, "unavailable", "wait"));
   CHECK_FALSE(mWatch->IsKnown());
-  mWatch->OnPeer(Drained(100, "a"));
+  mWatch->OnPeerDrains(Drained(100, "a"));
   CHECK_TRUE(mWatch->IsKnown());
   CHECK_TRUE(IsDrained("a"));
 }
 
-// Guards against a watch that goes on after a failure and misses what came in
-// between.
-TEST(DrainWatch, AfterAFailureTheWholeIsRead)
+// Guards against a watch that is resumed after a failure and misses the changes
+// in between.
+TEST(DrainWatch, AllNamesAreReadAfterAFailure)
 {
   mStore.Answer(100, std::vector<std::string>{});
-  mStore.mHeld.front().mDone(Fail(ErrorKind::Timeout, "lost", "again"));
-  mStore.mHeld.clear();
+  mStore.mPending.front().mDone(
+    Fail(ErrorKind::Timeout, "no response", "retry"));
+  mStore.mPending.clear();
   mClock.Advance(2000ms);
   mWatch->OnTick();
-  CHECK_EQUAL(0, mStore.mHeld[0].mAfter);
+  CHECK_EQUAL(0, mStore.mPending[0].mAfter);
 }
 
-// Guards against an answer from before a standstill that overwrites a read.
-TEST(DrainWatch, AnAnswerToACallGivenUpIsDropped)
+// Guards against a response to a call from before a process stall that
+// overwrites the read after it.
+TEST(DrainWatch, TheResponseToAnAbandonedCallIsDropped)
 {
   mWatch->ReadNow();
   mStore.Answer(90, std::vector<std::string>{ "a" });
@@ -139,37 +145,37 @@
   CHECK_TRUE(mWatch->IsKnown());
 }
 
-// Guards against a watch that went silent: an order was given since, and only
-// the store's version, told by other answers, shows that something changed.
-TEST(DrainWatch, AMovedVersionOfTheStoreIsLookedInto)
+// Guards against a missed drain while the watch is unresponsive: only the
+// store's version in responses to other calls shows that something changed.
+TEST(DrainWatch, AHigherStoreVersionTriggersARead)
 {
   mStore.Answer(100, std::vector<std::string>{});
-  auto silent = std::move(mStore.mHeld.front());
-  mStore.mHeld.clear();
+  auto unresponsive = std::move(mStore.mPending.front());
+  mStore.mPending.clear();
   mClock.Advance(1500ms);
   mWatch->OnStoreVersion(100, mClock.Now());
   CHECK(mWatch->ConfirmedAt() == mClock.Now());
-  CHECK_TRUE(mStore.mHeld.empty());
+  CHECK_TRUE(mStore.mPending.empty());
   Time before = mClock.Now();
   mClock.Advance(1500ms);
   mWatch->OnStoreVersion(103, mClock.Now());
   mWatch->OnStoreVersion(104, mClock.Now());
   CHECK(mWatch->ConfirmedAt() == before);
-  CHECK_EQUAL(1, mStore.mHeld.size());
+  CHECK_EQUAL(1, mStore.mPending.size());
   mStore.Answer(104, std::vector<std::string>{ "a" });
   CHECK_TRUE(IsDrained("a"));
   CHECK(mWatch->ConfirmedAt() == mClock.Now());
 }
 
-TEST(DrainWatch, WithoutAKindNothingIsCalledOrBelieved)
+TEST(DrainWatch, WithoutAKindStoreAndPeersAreIgnored)
 {
-  auto off =
+  auto disabled =
     DrainWatch::Make(mClock, mStore, {}, [](const DataCentreDrains&) {});
-  std::size_t before = mStore.mHeld.size();
-  off->SetWatches(true);
-  off->OnTick();
-  off->OnPeer(Drained(5, "a"));
-  CHECK_EQUAL(before, mStore.mHeld.size());
-  CHECK_TRUE(off->IsKnown());
-  CHECK_TRUE(off->Drains().mDataCentres.empty());
+  std::size_t before = mStore.mPending.size();
+  disabled->SetWatching(true);
+  disabled->OnTick();
+  disabled->OnPeerDrains(Drained(5, "a"));
+  CHECK_EQUAL(before, mStore.mPending.size());
+  CHECK_TRUE(disabled->IsKnown());
+  CHECK_TRUE(disabled->Drains().mDataCentres.empty());
 }
--- a/tests/InventoryWatchTest.cpp
+++ b/tests/InventoryWatchTest.cpp
@@ -10,30 +10,30 @@
 
 namespace {
 
-/** A store whose answers the test gives, one call at a time. */
-class HeldStore final : public ObjectStore
+/** A store whose calls stay pending until the test completes them. */
+class ManualStore final : public ObjectStore
 {
 public:
   struct Call
   {
     std::uint64_t mAfter = 0;
     bool mIsWatch = false;
-    Done<Object> mGot;
-    Done<std::optional<Object>> mWatched;
+    Done<Object> mOnGet;
+    Done<std::optional<Object>> mOnWatch;
   };
-  std::deque<Call> mHeld;
+  std::deque<Call> mPending;
   int mCalls = 0;
 
   void Get(std::string_view, Done<Object> aDone) override
   {
     ++mCalls;
-    mHeld.push_back({ 0, false, std::move(aDone), {} });
+    mPending.push_back({ 0, false, std::move(aDone), {} });
   }
   void Watch(std::string_view, std::uint64_t aAfter, Duration,
              Done<std::optional<Object>> aDone) override
   {
     ++mCalls;
-    mHeld.push_back({ aAfter, true, {}, std::move(aDone) });
+    mPending.push_back({ aAfter, true, {}, std::move(aDone) });
   }
   void Put(std::string_view, std::string, WriteCondition,
            Done<std::uint64_t>) override
@@ -42,16 +42,16 @@
   void Delete(std::string_view, WriteCondition, Done<std::uint64_t>) override {}
   void List(std::string_view, Done<std::vector<ObjectName>>) override {}
 
-  Call Take()
+  Call TakeCall()
   {
-    Call call = std::move(mHeld.front());
-    mHeld.pop_front();
+    Call call = std::move(mPending.front());
+    mPending.pop_front();
     return call;
   }
 };
 
-/** The document is the version in digits. */
-class PlainReader final : public FlowInventoryReader
+/** Parses a document that consists of the version's digits. */
+class DigitsReader final : public FlowInventoryReader
 {
 public:
   Result<FlowInventoryPtr> Read(std::string_view aDocument) const override
@@ -66,7 +66,7 @@
   }
 };
 
-Object Doc(const char* aText, std::uint64_t aVersion)
+Object MakeObject(const char* aText, std::uint64_t aVersion)
 {
   return { "k", aText, aVersion };
 }
@@ -76,81 +76,81 @@
 TEST_GROUP(InventoryWatch)
 {
   ManualClock mClock;
-  HeldStore mStore;
-  PlainReader mReader;
-  std::vector<std::uint64_t> mSeen;
+  ManualStore mStore;
+  DigitsReader mReader;
+  std::vector<std::uint64_t> mVersionsInForce;
   std::shared_ptr<InventoryWatch> mWatch = InventoryWatch::Make(
     mClock, mStore, mReader, {},
     [this](const FlowInventoryPtr& aIt, const std::string&) {
-      mSeen.push_back(aIt->mVersion);
+      mVersionsInForce.push_back(aIt->mVersion);
     });
 
   void setup() override
   {
-    mWatch->SetWatchFor(5000ms);
+    mWatch->SetWatchDuration(5000ms);
   }
 
-  void ReadFirst()
+  void ReadFirstVersion()
   {
     mWatch->OnTick();
-    mStore.Take().mGot(Doc("7", 100));
+    mStore.TakeCall().mOnGet(MakeObject("7", 100));
   }
 };
 
-TEST(InventoryWatch, ReadsThenWatchesFromThere)
+TEST(InventoryWatch, WatchesFromTheVersionOfTheFirstRead)
 {
-  ReadFirst();
+  ReadFirstVersion();
   CHECK_EQUAL(7, mWatch->Version());
-  CHECK_EQUAL(1, mStore.mHeld.size());
-  CHECK_TRUE(mStore.mHeld[0].mIsWatch);
-  CHECK_EQUAL(100, mStore.mHeld[0].mAfter);
-  mStore.Take().mWatched(std::optional<Object>(Doc("9", 105)));
+  CHECK_EQUAL(1, mStore.mPending.size());
+  CHECK_TRUE(mStore.mPending[0].mIsWatch);
+  CHECK_EQUAL(100, mStore.mPending[0].mAfter);
+  mStore.TakeCall().mOnWatch(std::optional<Object>(MakeObject("9", 105)));
   CHECK_EQUAL(9, mWatch->Version());
-  CHECK_EQUAL(105, mStore.mHeld[0].mAfter);
+  CHECK_EQUAL(105, mStore.mPending[0].mAfter);
   STRCMP_EQUAL("9", mWatch->Document().c_str());
 }
 
-// A stale read, a slow peer and a late answer each bring an older version. Were
-// one put in force, routes that were dropped would serve again.
-TEST(InventoryWatch, NeverGoesBack)
+// A stale read, a slow peer or a delayed response delivers an older version. If
+// it came into force, deleted routes would be served again.
+TEST(InventoryWatch, AnOlderVersionIsIgnored)
 {
-  ReadFirst();
+  ReadFirstVersion();
   mWatch->OnPeerDocument("12");
   mWatch->OnPeerDocument("11");
-  mStore.Take().mWatched(std::optional<Object>(Doc("9", 105)));
+  mStore.TakeCall().mOnWatch(std::optional<Object>(MakeObject("9", 105)));
   CHECK_EQUAL(12, mWatch->Version());
-  CHECK_EQUAL(2, mSeen.size());
+  CHECK_EQUAL(2, mVersionsInForce.size());
 }
 
-// The store is away: calls fail at once. They must not come in a stream, and
-// after the first success everything is read anew.
-TEST(InventoryWatch, PausesAfterFailuresAndReadsWhole)
+// The store is unavailable and calls fail at once. They must be spaced by a
+// backoff, and each must be a read, not a resumed watch.
+TEST(InventoryWatch, FailuresCauseBackoffAndReads)
 {
-  ReadFirst();
-  mStore.Take().mWatched(
-    Fail(ErrorKind::Unavailable, "refuses: 503", "try again later"));
+  ReadFirstVersion();
+  mStore.TakeCall().mOnWatch(
+    Fail(ErrorKind::Unavailable, "rejected: 503", "try again later"));
   int calls = mStore.mCalls;
   for (int i = 0; i < 200; ++i) {
     mClock.Advance(50ms);
     mWatch->OnTick();
-    while (!mStore.mHeld.empty()) {
-      CHECK_FALSE(mStore.mHeld[0].mIsWatch);
-      mStore.Take().mGot(Fail(ErrorKind::Timeout, "no answer", "wait"));
+    while (!mStore.mPending.empty()) {
+      CHECK_FALSE(mStore.mPending[0].mIsWatch);
+      mStore.TakeCall().mOnGet(Fail(ErrorKind::Timeout, "no response", "wait"));
     }
   }
-  // Ten seconds of pauses that grow to 1.5 s, drawn from zero on.
+  // Ten seconds of random pauses between zero and a bound that grows to 1.5 s.
   CHECK_TRUE(mStore.mCalls - calls < 40);
   CHECK_TRUE(mStore.mCalls - calls > 5);
 }
 
-// A store, or something before it, answers each watch at once with nothing.
-TEST(InventoryWatch, WatchesThatDoNotWaitAreNotMadeInAStream)
+// The store, or a proxy before it, returns each watch at once without a change.
+TEST(InventoryWatch, WatchesThatReturnAtOnceCauseBackoff)
 {
-  ReadFirst();
+  ReadFirstVersion();
   int calls = mStore.mCalls;
   for (int i = 0; i < 200; ++i) {
-    if (!mStore.mHeld.empty()) {
-      mStore.Take().mWatched(std::optional<Object>());
+    if (!mStore.mPending.empty()) {
+      mStore.TakeCall().mOnWatch(std::optional<Object>());
     }
     mClock.Advance(50ms);
     mWatch->OnTick();
@@ -158,84 +158,85 @@
   CHECK_TRUE(mStore.mCalls - calls < 40);
 }
 
-TEST(InventoryWatch, AStoreWithoutRoutesIsNotLost)
+TEST(InventoryWatch, AStoreWithoutRoutesIsAvailable)
 {
   mWatch->OnTick();
-  mStore.Take().mGot(Fail(ErrorKind::NotFound, "no object", "write it"));
+  mStore.TakeCall().mOnGet(Fail(ErrorKind::NotFound, "no object", "write it"));
   CHECK_FALSE(mWatch->IsStoreLost());
   mClock.Advance(2s);
   mWatch->OnTick();
-  mStore.Take().mGot(Fail(ErrorKind::Unavailable, "refuses", "wait"));
+  mStore.TakeCall().mOnGet(Fail(ErrorKind::Unavailable, "rejected", "wait"));
   CHECK_TRUE(mWatch->IsStoreLost());
 }
 
-// The process was suspended with a watch under way. Its answer, when it comes,
-// is older than what is read after waking.
-TEST(InventoryWatch, AfterAStandstillItReadsAndDropsTheOldCall)
+// The process was suspended while a watch was pending. The watch's response is
+// older than the read after the process resumes.
+TEST(InventoryWatch, ReadAfterAStallDropsThePendingCall)
 {
-  ReadFirst();
-  auto old = mStore.Take();
+  ReadFirstVersion();
+  auto old = mStore.TakeCall();
   mWatch->ReadNow();
-  CHECK_FALSE(mStore.mHeld[0].mIsWatch);
-  old.mWatched(std::optional<Object>(Doc("8", 101)));
+  CHECK_FALSE(mStore.mPending[0].mIsWatch);
+  old.mOnWatch(std::optional<Object>(MakeObject("8", 101)));
   CHECK_EQUAL(7, mWatch->Version());
-  mStore.Take().mGot(Doc("9", 105));
+  mStore.TakeCall().mOnGet(MakeObject("9", 105));
   CHECK_EQUAL(9, mWatch->Version());
 }
 
-TEST(InventoryWatch, ADocumentThatCanNotBeReadChangesNothing)
+TEST(InventoryWatch, AnInvalidDocumentChangesNothing)
 {
-  ReadFirst();
-  mStore.Take().mWatched(std::optional<Object>(Doc("x", 105)));
+  ReadFirstVersion();
+  mStore.TakeCall().mOnWatch(std::optional<Object>(MakeObject("x", 105)));
   CHECK_EQUAL(7, mWatch->Version());
-  CHECK_EQUAL(1, mSeen.size());
-  // It goes on from there, not in a circle.
-  CHECK_EQUAL(105, mStore.mHeld[0].mAfter);
+  CHECK_EQUAL(1, mVersionsInForce.size());
+  // The next watch starts after the invalid version and doesn't return it
+  // again.
+  CHECK_EQUAL(105, mStore.mPending[0].mAfter);
 }
 
-// In a large fleet most balancers leave the store to a few. One that stood
-// still may have missed what those told, and reads once.
-TEST(InventoryWatch, WithoutAWatchItReadsOnlyWhenTold)
+// In a large fleet most balancers don't watch the store. One that was stalled
+// may have missed notices of the watchers, and reads once.
+TEST(InventoryWatch, WithWatchingOffItReadsOnlyOnReadNow)
 {
-  mWatch->SetWatchFor(std::nullopt);
+  mWatch->SetWatchDuration(std::nullopt);
   mWatch->OnTick();
   CHECK_EQUAL(0, mStore.mCalls);
   mWatch->ReadNow();
-  CHECK_EQUAL(1, mStore.mHeld.size());
-  mStore.Take().mGot(Doc("7", 100));
+  CHECK_EQUAL(1, mStore.mPending.size());
+  mStore.TakeCall().mOnGet(MakeObject("7", 100));
   mWatch->OnTick();
   CHECK_EQUAL(1, mStore.mCalls);
   CHECK_EQUAL(7, mWatch->Version());
 }
 
-// An answer waits on a full link, and the routes change meanwhile. Others rely
-// on what this balancer says of the store, so it must not count from when the
-// answer came.
-TEST(InventoryWatch, ALateAnswerConfirmsWhatWasTrueWhenItWasGiven)
+// A response is queued on a full link, and the routes change meanwhile. Other
+// balancers rely on this balancer's confirmation, so it must not count from
+// when the response arrived.
+TEST(InventoryWatch, ADelayedResponseConfirmsAsOfTheEarliestSendTime)
 {
   Time calledAt = mClock.Now();
   mWatch->OnTick();
   mClock.Advance(900ms);
-  mStore.Take().mGot(Doc("7", 100));
+  mStore.TakeCall().mOnGet(MakeObject("7", 100));
   CHECK_TRUE(mWatch->ConfirmedAt() == calledAt);
   Time watchedAt = mClock.Now();
   mClock.Advance(5900ms);
-  mStore.Take().mWatched(std::optional<Object>());
+  mStore.TakeCall().mOnWatch(std::optional<Object>());
   CHECK_TRUE(mWatch->ConfirmedAt() == watchedAt + 5000ms);
   mClock.Advance(100ms);
-  mStore.Take().mWatched(std::optional<Object>(Doc("9", 105)));
+  mStore.TakeCall().mOnWatch(std::optional<Object>(MakeObject("9", 105)));
   CHECK_TRUE(mWatch->ConfirmedAt() == mClock.Now());
 }
 
-// Guards against a read of one object that is taken for word of the whole
-// store: what else changed there is not known by it.
-TEST(InventoryWatch, OnlyWatchesTellHowTheStoreStands)
+// Guards against a read of one object that counts as a confirmation for the
+// whole store, although it reveals no changes of other objects.
+TEST(InventoryWatch, OnlyWatchesAdvanceWatchedAt)
 {
   mClock.Advance(1s);
-  ReadFirst();
+  ReadFirstVersion();
   CHECK(mWatch->ConfirmedAt() == mClock.Now());
   CHECK(mWatch->WatchedAt() == Time{});
   mClock.Advance(5000ms);
-  mStore.Take().mWatched(std::optional<Object>());
+  mStore.TakeCall().mOnWatch(std::optional<Object>());
   CHECK(mWatch->WatchedAt() == mClock.Now());
 }
--- a/tests/PassthroughExplorationTest.cpp
+++ b/tests/PassthroughExplorationTest.cpp
@@ -15,37 +15,37 @@
 constexpr int kThreads = 4;
 constexpr std::uint64_t kSchedules = 100000;
 
-struct Found
+struct ExplorationResult
 {
   std::vector<std::string> mViolations;
   std::uint64_t mOpened = 0;
   std::uint64_t mAnswered = 0;
 };
 
-/** Plays schedules on several threads, all of them or until one fails. */
-Found Explore(std::uint64_t aFrom, std::uint64_t aCount,
-              const PassthroughWorld::Options& aOptions,
-              bool aStopAtFirst = false)
+/** Runs schedules on several threads; aStopAtFirst: until one fails. */
+ExplorationResult Explore(std::uint64_t aFrom, std::uint64_t aCount,
+                          const PassthroughWorld::Options& aOptions,
+                          bool aStopAtFirst = false)
 {
   std::atomic<std::uint64_t> next = aFrom;
   std::mutex lock;
-  Found found;
-  auto play = [&] {
+  ExplorationResult result;
+  auto runSchedules = [&] {
     for (std::uint64_t seed = next++; seed < aFrom + aCount; seed = next++) {
       PassthroughWorld::Options options = aOptions;
       options.mSeed = seed;
       PassthroughWorld world(options);
       auto violations = world.Run();
       std::lock_guard guard(lock);
-      found.mOpened += static_cast<std::uint64_t>(world.Opened());
-      found.mAnswered += static_cast<std::uint64_t>(world.Answered());
+      result.mOpened += static_cast<std::uint64_t>(world.Opened());
+      result.mAnswered += static_cast<std::uint64_t>(world.Answered());
       for (auto& it : violations) {
-        if (!aStopAtFirst && found.mViolations.size() < 20) {
+        if (!aStopAtFirst && result.mViolations.size() < 20) {
           std::printf("%s\n", it.c_str());
         }
-        found.mViolations.push_back(std::move(it));
+        result.mViolations.push_back(std::move(it));
       }
-      if (aStopAtFirst && !found.mViolations.empty()) {
+      if (aStopAtFirst && !result.mViolations.empty()) {
         return;
       }
     }
@@ -53,35 +53,36 @@
   std::vector<std::thread> threads;
   threads.reserve(kThreads);
   for (int i = 0; i < kThreads; ++i) {
-    threads.emplace_back(play);
+    threads.emplace_back(runSchedules);
   }
   for (auto& it : threads) {
     it.join();
   }
-  return found;
+  return result;
 }
 
 } // namespace
 
 TEST_GROUP(PassthroughExploration){};
 
-// Balancers are replaced, agents die and freeze, hosts crash, leave and come
-// back under the same name, addresses go to another service, agents are cut off
-// from each other, views are late and unequal, packets are lost, doubled and
-// reordered, all at once and by chance. What must hold stands at
-// PassthroughWorld.
-TEST(PassthroughExploration, NoScheduleBreaksARule)
+// Runs random combinations of faults: balancers restart, agents are killed and
+// stalled, hosts crash, drain and restart under the same name, addresses move
+// to another service, agents are cut off from each other, views are delayed and
+// differ, and packets are lost, duplicated and reordered. PassthroughWorld
+// lists the invariants.
+TEST(PassthroughExploration, NoScheduleViolatesAnInvariant)
 {
-  Found found = Explore(1, kSchedules, {});
-  CHECK_EQUAL(0, found.mViolations.size());
-  CHECK_TRUE(found.mOpened > 8 * kSchedules);
-  CHECK_TRUE(found.mAnswered > 8 * kSchedules);
+  ExplorationResult result = Explore(1, kSchedules, {});
+  CHECK_EQUAL(0, result.mViolations.size());
+  CHECK_TRUE(result.mOpened > 8 * kSchedules);
+  CHECK_TRUE(result.mAnswered > 8 * kSchedules);
 }
 
-// Schedules that found a fault while the rules were made: a refusal that cut a
-// flow which another copy of its opening packet had opened; in the last two the
-// refusing agent had stood still until the caller's next copies were placed.
-TEST(PassthroughExploration, SchedulesThatOnceFailedPass)
+// Seeds that found a fault during development: a refusal of one copy of an
+// opening packet cut the flow that another copy had opened. With the last two
+// seeds the refusing agent was stalled until the caller's next copies were
+// placed.
+TEST(PassthroughExploration, SeedsOfFormerFailuresPass)
 {
   for (std::uint64_t seed :
        { 361, 505, 1899, 3387, 9609, 15404, 83075, 53701, 81319 }) {
@@ -89,9 +90,9 @@
   }
 }
 
-// Each guard is switched off in turn; if no schedule failed then, it would
-// guard against nothing, or the exploration would be blind to it.
-TEST(PassthroughExploration, EachGuardIsNeeded)
+// Each guard is disabled in turn. If no schedule failed then, the guard would
+// have no effect, or the exploration would not detect the fault.
+TEST(PassthroughExploration, DisablingAnyGuardFailsASchedule)
 {
   struct GuardCase
   {
@@ -99,37 +100,42 @@
     bool HostFlowGuards::*mGuard;
   };
   for (const GuardCase& it : {
-         GuardCase{ "service", &HostFlowGuards::mCheckService },
-         GuardCase{ "acknowledged", &HostFlowGuards::mMatchAcknowledged },
-         GuardCase{ "ask unknown", &HostFlowGuards::mAskUnknown },
-         GuardCase{ "hear first", &HostFlowGuards::mHearFirst },
+         GuardCase{ "service check", &HostFlowGuards::mCheckService },
+         GuardCase{ "acknowledgement match",
+                    &HostFlowGuards::mMatchAcknowledged },
+         GuardCase{ "query of unknown flows", &HostFlowGuards::mAskUnknown },
+         GuardCase{ "wait for the first heartbeat",
+                    &HostFlowGuards::mHearFirst },
        }) {
     PassthroughWorld::Options options;
     options.mGuards.*it.mGuard = false;
-    Found found = Explore(1, kSchedules, options, true);
-    CHECK_TRUE_TEXT(!found.mViolations.empty(), it.mName);
+    ExplorationResult result = Explore(1, kSchedules, options, true);
+    CHECK_TRUE_TEXT(!result.mViolations.empty(), it.mName);
   }
 }
 
-// The operator drains a data centre while balancers and agents die, hosts crash
-// and leave, and packets are late. Balancers alone see to it that nothing is
-// opened there; where one of them never hears of the drain, the agents do.
-TEST(PassthroughExploration, NothingOpensInADrainedDataCentre)
+// The operator drains a data centre while balancers and agents restart, hosts
+// crash and drain, and packets are delayed. The balancers alone prevent new
+// flows there; if one of them is never notified of the drain, the agents
+// prevent them.
+TEST(PassthroughExploration, NoFlowOpensInADrainedDataCentre)
 {
   PassthroughWorld::Options options;
-  options.mDrains = true;
-  options.mTellsAgents = false;
+  options.mDrainDataCentre = true;
+  options.mNotifyAgents = false;
   CHECK_EQUAL(0, Explore(1, kSchedules, options).mViolations.size());
-  options.mTellsAgents = true;
-  options.mDeafBalancer = true;
+  options.mNotifyAgents = true;
+  options.mOneBalancerMissesDrain = true;
   CHECK_EQUAL(0, Explore(1, kSchedules, options).mViolations.size());
 }
 
-TEST(PassthroughExploration, ABalancerThatIsDeafOpensThereUnlessAgentsAreTold)
+// The agents' part is needed: without notified agents, the balancer that misses
+// the drain opens flows there.
+TEST(PassthroughExploration, ABalancerWithoutTheDrainOpensFlowsUnlessAgentsKnow)
 {
   PassthroughWorld::Options options;
-  options.mDrains = true;
-  options.mDeafBalancer = true;
-  options.mTellsAgents = false;
+  options.mDrainDataCentre = true;
+  options.mOneBalancerMissesDrain = true;
+  options.mNotifyAgents = false;
   CHECK_TRUE(!Explore(1, kSchedules, options, true).mViolations.empty());
 }
--- a/tests/PassthroughSettingsTest.cpp
+++ b/tests/PassthroughSettingsTest.cpp
@@ -28,12 +28,13 @@
   CHECK_TRUE(read.has_value());
   STRCMP_EQUAL("10.0.0.1:4444", read->mIngress.ToString().c_str());
   CHECK_EQUAL(4444, read->mCallerPort);
-  // Itself is no seed; the others are reached at the seeds' port.
+  // A seed that equals the control address is removed; the others get the
+  // seeds' port.
   CHECK_EQUAL(1, read->mSeeds.size());
   STRCMP_EQUAL("10.0.0.2:7000", read->mSeeds[0].ToString().c_str());
 }
 
-TEST(PassthroughSettings, ReadsWhatTheLinkCarries)
+TEST(PassthroughSettings, ReadsTheLinkCapacityAndPropagationTime)
 {
   auto read = ParseFlowBalancerSettings(
     "{" + kShared + R"("ingress": "10.0.0.1:4444", "routes_key": "a/b",
@@ -49,7 +50,7 @@
       .has_value());
 }
 
-TEST(PassthroughSettings, NamesEveryFaultAndTheRemedy)
+TEST(PassthroughSettings, TheErrorNamesEveryFault)
 {
   auto read = ParseFlowBalancerSettings(
     "{" + kShared + R"("ingres": "x", "max_hints": 0})", "f.json");
--- a/tests/PassthroughWorld.cpp
+++ b/tests/PassthroughWorld.cpp
@@ -15,7 +15,7 @@
     auto agent = std::make_unique<Agent>();
     agent->mWorld = this;
     agent->mIndex = i;
-    agent->mTunnel = At4("10.0.1.", i, 7000);
+    agent->mTunnel = MakeAddress("10.0.1.", i, 7000);
     agent->mService = i < kHostsOfOne ? "one" : "other";
     agent->Start();
     mAgents.push_back(std::move(agent));
@@ -24,7 +24,7 @@
   for (std::size_t i = 0; i < kBalancers; ++i) {
     auto balancer = std::make_unique<Balancer>();
     balancer->mWorld = this;
-    balancer->mTunnel = At4("10.0.2.", i, 7000);
+    balancer->mTunnel = MakeAddress("10.0.2.", i, 7000);
     mBalancers.push_back(std::move(balancer));
     mBalancers.back()->Start();
   }
@@ -32,40 +32,40 @@
 
 PassthroughWorld::~PassthroughWorld() = default;
 
-void PassthroughWorld::At(Duration aAfter, std::function<void()> aWhat)
+void PassthroughWorld::Schedule(Duration aAfter, std::function<void()> aAction)
 {
-  mEvents.emplace(mClock.Now() + aAfter, std::move(aWhat));
+  mEvents.emplace(mClock.Now() + aAfter, std::move(aAction));
 }
 
-double PassthroughWorld::Chance()
+double PassthroughWorld::RandomFraction()
 {
   return std::uniform_real_distribution<double>(0, 1)(mRandom);
 }
 
-std::uint64_t PassthroughWorld::Pick(std::uint64_t aBelow)
+std::uint64_t PassthroughWorld::RandomBelow(std::uint64_t aBelow)
 {
   return mRandom() % aBelow;
 }
 
-Duration PassthroughWorld::Between(int aFromMs, int aToMs)
+Duration PassthroughWorld::RandomDuration(int aFromMs, int aToMs)
 {
   return std::chrono::microseconds(
     std::int64_t{ 1000 } * aFromMs +
-    static_cast<std::int64_t>(Chance() * 1000 * (aToMs - aFromMs)));
+    static_cast<std::int64_t>(RandomFraction() * 1000 * (aToMs - aFromMs)));
 }
 
 void PassthroughWorld::Send(std::function<void()> aDeliver)
 {
-  if (!mCalm && Chance() < 0.02) {
+  if (!mNetworkReliable && RandomFraction() < 0.02) {
     return;
   }
-  if (!mCalm && Chance() < 0.02) {
-    At(Between(0, 30), aDeliver);
+  if (!mNetworkReliable && RandomFraction() < 0.02) {
+    Schedule(RandomDuration(0, 30), aDeliver);
   }
-  At(Between(0, 2), std::move(aDeliver));
+  Schedule(RandomDuration(0, 2), std::move(aDeliver));
 }
 
-void PassthroughWorld::PlayUntil(Time aEnd)
+void PassthroughWorld::RunUntil(Time aEnd)
 {
   while (!mEvents.empty() && mEvents.begin()->first <= aEnd) {
     auto event = mEvents.extract(mEvents.begin());
@@ -75,26 +75,27 @@
   mClock.Advance(aEnd - mClock.Now());
 }
 
-void PassthroughWorld::Violated(std::string aWhat)
+void PassthroughWorld::AddViolation(std::string aDescription)
 {
   mViolations.push_back("seed " + std::to_string(mOptions.mSeed) + ": " +
-                        std::move(aWhat));
+                        std::move(aDescription));
 }
 
 void PassthroughWorld::OnCallerPacket(Bytes aPacket)
 {
-  Balancer& balancer = *mBalancers[Pick(mBalancers.size())];
+  Balancer& balancer = *mBalancers[RandomBelow(mBalancers.size())];
   Send([this, &balancer, packet = std::move(aPacket)] {
-    balancer.Do([this, &balancer, packet] { Offer(balancer, packet); });
+    balancer.RunOrDefer(
+      [this, &balancer, packet] { SteerPacket(balancer, packet); });
   });
 }
 
-void PassthroughWorld::Offer(Balancer& aBalancer, const Bytes& aPacket)
+void PassthroughWorld::SteerPacket(Balancer& aBalancer, const Bytes& aPacket)
 {
   aBalancer.mSteering->OnPacket(aPacket, mClock.Now());
   if (auto next = aBalancer.mSteering->NextAt()) {
-    At(*next - mClock.Now(), [this, &aBalancer] {
-      if (!aBalancer.mFrozen) {
+    Schedule(*next - mClock.Now(), [this, &aBalancer] {
+      if (!aBalancer.mStalled) {
         aBalancer.mSteering->OnTick(mClock.Now());
       }
     });
@@ -105,10 +106,10 @@
                                const Agent* aFrom)
 {
   for (auto& it : mAgents) {
-    bool cut = aFrom != nullptr && aFrom->mCutFrom.contains(it->mIndex);
-    if (it->mTunnel == aTo && !cut) {
+    bool isCut = aFrom != nullptr && aFrom->mCutFrom.contains(it->mIndex);
+    if (it->mTunnel == aTo && !isCut) {
       Send([this, &agent = *it, aPacket] {
-        agent.Do([this, &agent, aPacket] {
+        agent.RunOrDefer([this, &agent, aPacket] {
           agent.mFlows->OnSteered(aPacket, mClock.Now());
         });
       });
@@ -117,12 +118,12 @@
 }
 
 void PassthroughWorld::ToBalancer(const Address& aTo,
-                                  std::function<void(Balancer&)> aWhat)
+                                  std::function<void(Balancer&)> aAction)
 {
   for (auto& it : mBalancers) {
     if (it->mTunnel == aTo) {
-      Send([&balancer = *it, what = std::move(aWhat)] {
-        balancer.Do([&balancer, what] { what(balancer); });
+      Send([&balancer = *it, what = std::move(aAction)] {
+        balancer.RunOrDefer([&balancer, what] { what(balancer); });
       });
       return;
     }
@@ -139,7 +140,7 @@
       }
       if (read->mReset) {
         if (HostOf(*it) != nullptr) {
-          Violated("a caller got a reset while its host holds the flow");
+          AddViolation("a caller got a reset while its host holds the flow");
         }
         it->mEnded = true;
       } else if (read->mSyn && !it->mAccepted) {
@@ -158,24 +159,24 @@
 {
   SendSyn(aCaller, 0);
   for (auto [after, copy] : { std::pair{ 200ms, 1U }, { 600ms, 2U } }) {
-    At(after, [this, &aCaller, copy = copy] {
+    Schedule(after, [this, &aCaller, copy = copy] {
       if (!aCaller.mAccepted && !aCaller.mEnded) {
         SendSyn(aCaller, copy);
       }
     });
   }
-  At(1400ms, [&aCaller] { aCaller.mEnded |= !aCaller.mAccepted; });
+  Schedule(1400ms, [&aCaller] { aCaller.mEnded |= !aCaller.mAccepted; });
 }
 
-void PassthroughWorld::SendSyn(Caller& aCaller, std::uint32_t aCopy)
+void PassthroughWorld::SendSyn(Caller& aCaller, std::uint32_t aRetransmission)
 {
   SendFromCaller(aCaller,
                  MakePacket(aCaller.mFlow.mCaller, aCaller.mFlow.mService, kSyn,
-                            0, aCopy, 0));
+                            0, aRetransmission, 0));
 }
 
 void PassthroughWorld::SendRequest(Caller& aCaller, int aTries,
-                                   Duration aAgainAfter)
+                                   Duration aRetryAfter)
 {
   if (aCaller.mAnswered || aCaller.mEnded || aTries == 0) {
     return;
@@ -183,9 +184,9 @@
   SendFromCaller(aCaller,
                  MakePacket(aCaller.mFlow.mCaller, aCaller.mFlow.mService, kAck,
                             1, aCaller.mHostSequence + 1, 5));
-  At(aAgainAfter, [this, &aCaller, aTries, aAgainAfter] {
+  Schedule(aRetryAfter, [this, &aCaller, aTries, aRetryAfter] {
     SendRequest(aCaller, aTries - 1,
-                std::min<Duration>(2 * aAgainAfter, 1600ms));
+                std::min<Duration>(2 * aRetryAfter, 1600ms));
   });
 }
 
@@ -195,8 +196,9 @@
   OnCallerPacket(std::move(aPacket));
 }
 
-/** Every flow that is open at a living host is found from every balancer. */
-void PassthroughWorld::CheckCalm()
+/** Checks that a packet of every flow that is open at a running host reaches
+ * that host through any balancer. */
+void PassthroughWorld::CheckOpenFlowsReachable()
 {
   for (auto& it : mCallers) {
     Host* host = HostOf(*it);
@@ -207,10 +209,10 @@
     SendFromCaller(*it, MakePacket(it->mFlow.mCaller, it->mFlow.mService,
                                    kAck | kFin, 6, it->mHostSequence + 1, 0));
   }
-  PlayUntil(mClock.Now() + 1s);
+  RunUntil(mClock.Now() + 1s);
   for (auto& it : mCallers) {
     if (HostOf(*it) != nullptr && !it->mEnded && it->mReceivedByHost == 0) {
-      Violated("a packet of an open flow did not reach its host");
+      AddViolation("a packet of an open flow did not reach its host");
     }
   }
 }
@@ -220,30 +222,32 @@
   for (int i = 0; i < mOptions.mCallers; ++i) {
     auto caller = std::make_unique<Caller>();
     caller->mFlow.mCaller =
-      At4("100.64.0.", static_cast<std::size_t>(i), 40000);
-    bool one = Chance() < 0.7;
+      MakeAddress("100.64.0.", static_cast<std::size_t>(i), 40000);
+    bool one = RandomFraction() < 0.7;
     caller->mFlow.mService = one ? kRouteOne : kRouteOther;
     mCallers.push_back(std::move(caller));
-    At(Between(0, 2300), [this, &it = *mCallers.back()] { StartCaller(it); });
+    Schedule(RandomDuration(0, 2300),
+             [this, &it = *mCallers.back()] { StartCaller(it); });
   }
   for (int i = 0; i < mOptions.mFaults; ++i) {
-    PlanFault();
+    ScheduleFault();
   }
-  if (mOptions.mDrains) {
-    At(Between(200, 1500), [this] { Drain(); });
+  if (mOptions.mDrainDataCentre) {
+    Schedule(RandomDuration(200, 1500), [this] { DrainDataCentre(); });
   }
-  Time end = mClock.Now() + kTroubleFor;
+  Time end = mClock.Now() + kFaultDuration;
   while (mClock.Now() < end) {
-    PlayUntil(mClock.Now() + 50ms);
+    RunUntil(mClock.Now() + 50ms);
     for (auto& it : mAgents) {
-      it->Do([this, &agent = *it] { agent.mFlows->OnTick(mClock.Now()); });
+      it->RunOrDefer(
+        [this, &agent = *it] { agent.mFlows->OnTick(mClock.Now()); });
     }
   }
-  mCalm = true;
-  PlayUntil(mClock.Now() + kCalmAfter);
-  ViewsChanged();
-  PlayUntil(mClock.Now() + 1s);
-  CheckCalm();
+  mNetworkReliable = true;
+  RunUntil(mClock.Now() + kRecoveryDuration);
+  ScheduleViewUpdates();
+  RunUntil(mClock.Now() + 1s);
+  CheckOpenFlowsReachable();
   return mViolations;
 }
 
--- a/tests/PassthroughWorld.h
+++ b/tests/PassthroughWorld.h
@@ -17,16 +17,16 @@
 
 namespace heatherplank {
 
-/** A world of balancers, agents, hosts and callers on a paused clock, with a
- * network that loses, doubles and reorders, and a seeded schedule of faults.
- * It checks, from what callers and hosts see, that
+/** Simulates balancers, agents, hosts and callers on a manual clock, with a
+ * network that loses, duplicates and reorders packets, and a seeded schedule of
+ * faults. It checks, from the packets at callers and hosts, that
  *
- * - no caller gets a reset on a flow that its living host holds;
- * - once the world is calm, a packet of an open flow reaches its host;
- * - no host is given a flow of another service;
- * - no flow is opened at a host after its agent acknowledged that it leaves;
- * - hosts get packets only as their callers wrote them;
- * - no flow is opened in a data centre long after the operator drained it.
+ * - no caller gets a reset on a flow that its running host holds;
+ * - once the faults are over, a packet of an open flow reaches its host;
+ * - no host receives a flow of another service;
+ * - no flow is opened at a host after its agent acknowledged that it drains;
+ * - hosts receive packets only as their callers sent them;
+ * - no flow is opened in a drained data centre after the drain has propagated.
  */
 class PassthroughWorld
 {
@@ -37,22 +37,25 @@
     HostFlowGuards mGuards;
     int mCallers = 12;
     int mFaults = 4;
-    /** The operator drains a data centre; no process freezes then, which would
-     * hide for how long a drain may be unknown. */
-    bool mDrains = false;
-    /** One balancer never hears of the drain, and no agent forgets it. */
-    bool mDeafBalancer = false;
-    /** Agents are told of the drain. */
-    bool mTellsAgents = true;
+    /** The operator drains a data centre. No process is stalled then, since a
+     * stall would hide for how long a drain may be unknown. */
+    bool mDrainDataCentre = false;
+    /** One balancer is never notified of the drain; no agent loses its record
+     * of the drain. */
+    bool mOneBalancerMissesDrain = false;
+    /** Balancers notify agents of the drain. */
+    bool mNotifyAgents = true;
   };
 
   explicit PassthroughWorld(const Options& aOptions);
   ~PassthroughWorld();
 
-  /** Plays the schedule; gives what went wrong, first thing first. */
+  /** Runs the schedule; returns the violations in chronological order. */
   std::vector<std::string> Run();
 
+  /** Flows that were opened. */
   int Opened() const { return mOpened; }
+  /** Callers whose request was answered. */
   int Answered() const { return mAnswered; }
 
 private:
@@ -61,48 +64,48 @@
   struct Host;
   struct Caller;
 
-  void At(Duration aAfter, std::function<void()> aWhat);
+  void Schedule(Duration aAfter, std::function<void()> aAction);
   void Send(std::function<void()> aDeliver);
-  void PlayUntil(Time aEnd);
-  double Chance();
-  std::uint64_t Pick(std::uint64_t aBelow);
-  Duration Between(int aFromMs, int aToMs);
+  void RunUntil(Time aEnd);
+  double RandomFraction();
+  std::uint64_t RandomBelow(std::uint64_t aBelow);
+  Duration RandomDuration(int aFromMs, int aToMs);
 
   void StartHost(Agent& aAgent, const char* aService);
-  void Announce(Agent& aAgent);
-  void ViewsChanged();
-  void GiveViews(Balancer& aBalancer);
-  void PlanFault();
+  void SendHeartbeat(Agent& aAgent);
+  void ScheduleViewUpdates();
+  void UpdateViews(Balancer& aBalancer);
+  void ScheduleFault();
   void KillBalancer();
-  void FreezeBalancer();
+  void StallBalancer();
   void KillAgent();
-  void FreezeAgent();
+  void StallAgent();
   void CrashHost();
   void DrainHost();
   void ReuseAddress();
   void CutAgents();
-  void Drain();
-  void TellDrained(Agent& aAgent);
-  bool IsLongDrained(const Agent& aAgent) const;
+  void DrainDataCentre();
+  void NotifyDrained(Agent& aAgent);
+  bool IsDrainPropagated(const Agent& aAgent) const;
 
   void OnCallerPacket(Bytes aPacket);
-  void Offer(Balancer& aBalancer, const Bytes& aPacket);
+  void SteerPacket(Balancer& aBalancer, const Bytes& aPacket);
   void ToAgent(const Address& aTo, const SteeredPacket& aPacket,
                const Agent* aFrom);
-  void ToBalancer(const Address& aTo, std::function<void(Balancer&)> aWhat);
+  void ToBalancer(const Address& aTo, std::function<void(Balancer&)> aAction);
   void ToHost(Agent& aAgent, Bytes aPacket);
-  void HostOpens(Agent& aAgent, const FlowPacket& aPacket);
-  void HostContinues(Agent& aAgent, const FlowPacket& aPacket, Bytes aBytes);
+  void OnSynAtHost(Agent& aAgent, const FlowPacket& aPacket);
+  void OnPacketAtHost(Agent& aAgent, const FlowPacket& aPacket, Bytes aBytes);
   void FromHost(Agent& aAgent, Bytes aPacket);
   void ToCaller(const Address& aCaller, Bytes aPacket);
 
   void StartCaller(Caller& aCaller);
-  void SendSyn(Caller& aCaller, std::uint32_t aCopy);
-  void SendRequest(Caller& aCaller, int aTries, Duration aAgainAfter);
+  void SendSyn(Caller& aCaller, std::uint32_t aRetransmission);
+  void SendRequest(Caller& aCaller, int aTries, Duration aRetryAfter);
   void SendFromCaller(Caller& aCaller, Bytes aPacket);
   Host* HostOf(const Caller& aCaller);
-  void CheckCalm();
-  void Violated(std::string aWhat);
+  void CheckOpenFlowsReachable();
+  void AddViolation(std::string aDescription);
 
   const Options mOptions;
   std::mt19937_64 mRandom;
@@ -115,10 +118,10 @@
   FlowInventoryPtr mInventory;
   std::uint64_t mVersion = 1;
   std::uint32_t mNextSequence = 1000;
-  std::int64_t mNextLife = 1;
+  std::int64_t mNextStartedAt = 1;
   DataCentreDrains mDrains{ 1, {} };
   std::optional<Time> mDrainedAt;
-  bool mCalm = false;
+  bool mNetworkReliable = false;
   int mOpened = 0;
   int mAnswered = 0;
   std::vector<std::string> mViolations;
--- a/tests/PassthroughWorldFaults.cpp
+++ b/tests/PassthroughWorldFaults.cpp
@@ -1,78 +1,80 @@
-// The faults of a schedule.
+// The faults that a schedule injects.
 #include "tests/PassthroughWorldParts.h"
 
 namespace heatherplank {
 
-void PassthroughWorld::PlanFault()
+void PassthroughWorld::ScheduleFault()
 {
-  if (mOptions.mDrains) {
-    static constexpr void (PassthroughWorld::*kBesideADrain[])() = {
+  if (mOptions.mDrainDataCentre) {
+    static constexpr void (PassthroughWorld::*kFaultsDuringDrain[])() = {
       &PassthroughWorld::DrainHost, &PassthroughWorld::CutAgents,
       &PassthroughWorld::KillBalancer, &PassthroughWorld::KillAgent,
       &PassthroughWorld::CrashHost
     };
-    // The first ones leave the memory of agents and the deaf balancer alone.
-    std::size_t kinds = mOptions.mDeafBalancer ? 2 : std::size(kBesideADrain);
-    auto beside = kBesideADrain[Pick(kinds)];
-    At(Between(100, 2200), [this, beside] { (this->*beside)(); });
+    // The first two faults leave the agents' records of the drain and the
+    // balancer that misses it untouched.
+    std::size_t kinds =
+      mOptions.mOneBalancerMissesDrain ? 2 : std::size(kFaultsDuringDrain);
+    auto fault = kFaultsDuringDrain[RandomBelow(kinds)];
+    Schedule(RandomDuration(100, 2200), [this, fault] { (this->*fault)(); });
     return;
   }
   static constexpr void (PassthroughWorld::*kFaults[])() = {
-    &PassthroughWorld::KillBalancer, &PassthroughWorld::FreezeBalancer,
-    &PassthroughWorld::KillAgent,    &PassthroughWorld::FreezeAgent,
+    &PassthroughWorld::KillBalancer, &PassthroughWorld::StallBalancer,
+    &PassthroughWorld::KillAgent,    &PassthroughWorld::StallAgent,
     &PassthroughWorld::CrashHost,    &PassthroughWorld::DrainHost,
     &PassthroughWorld::ReuseAddress, &PassthroughWorld::CutAgents
   };
-  auto fault = kFaults[Pick(std::size(kFaults))];
-  At(Between(100, 2200), [this, fault] { (this->*fault)(); });
+  auto fault = kFaults[RandomBelow(std::size(kFaults))];
+  Schedule(RandomDuration(100, 2200), [this, fault] { (this->*fault)(); });
 }
 
 void PassthroughWorld::KillBalancer()
 {
-  mBalancers[Pick(mBalancers.size())]->Start();
+  mBalancers[RandomBelow(mBalancers.size())]->Start();
 }
 
-void PassthroughWorld::FreezeBalancer()
+void PassthroughWorld::StallBalancer()
 {
-  Balancer& balancer = *mBalancers[Pick(mBalancers.size())];
-  balancer.mFrozen = true;
-  At(Between(150, 1500), [&balancer] { balancer.Wake(); });
+  Balancer& balancer = *mBalancers[RandomBelow(mBalancers.size())];
+  balancer.mStalled = true;
+  Schedule(RandomDuration(150, 1500), [&balancer] { balancer.Resume(); });
 }
 
 void PassthroughWorld::KillAgent()
 {
-  Agent& agent = *mAgents[Pick(mAgents.size())];
+  Agent& agent = *mAgents[RandomBelow(mAgents.size())];
   agent.mFlows.reset();
-  agent.mHeld.clear();
-  agent.mFrozen = false;
-  ViewsChanged();
-  At(Between(20, 300), [this, &agent] {
+  agent.mDeferred.clear();
+  agent.mStalled = false;
+  ScheduleViewUpdates();
+  Schedule(RandomDuration(20, 300), [this, &agent] {
     if (!agent.mFlows) {
       agent.Start();
-      ViewsChanged();
+      ScheduleViewUpdates();
     }
   });
 }
 
-void PassthroughWorld::FreezeAgent()
+void PassthroughWorld::StallAgent()
 {
-  Agent& agent = *mAgents[Pick(mAgents.size())];
-  agent.mFrozen = agent.mFlows != nullptr;
-  At(Between(50, 1200), [&agent] {
-    agent.mFrozen = false;
-    for (auto& it : std::exchange(agent.mHeld, {})) {
-      agent.Do(std::move(it));
+  Agent& agent = *mAgents[RandomBelow(mAgents.size())];
+  agent.mStalled = agent.mFlows != nullptr;
+  Schedule(RandomDuration(50, 1200), [&agent] {
+    agent.mStalled = false;
+    for (auto& it : std::exchange(agent.mDeferred, {})) {
+      agent.RunOrDefer(std::move(it));
     }
   });
 }
 
 void PassthroughWorld::CrashHost()
 {
-  Agent& agent = *mAgents[Pick(mAgents.size())];
+  Agent& agent = *mAgents[RandomBelow(mAgents.size())];
   agent.mHost->mAlive = false;
-  // It comes back as a host of the service that its slot is for by then: that
-  // of its agent, as both are set up together.
-  At(Between(50, 900), [this, &agent] {
+  // It restarts as a host of its agent's current service, which ReuseAddress()
+  // may have changed: the platform configures agent and host together.
+  Schedule(RandomDuration(50, 900), [this, &agent] {
     if (!agent.mHost->mAlive) {
       StartHost(agent, agent.mService.c_str());
     }
@@ -81,71 +83,72 @@
 
 void PassthroughWorld::DrainHost()
 {
-  Agent& agent = *mAgents[Pick(kHostsOfOne)];
+  Agent& agent = *mAgents[RandomBelow(kHostsOfOne)];
   agent.mHost->mPhase = HostPhase::Draining;
-  Announce(agent);
+  SendHeartbeat(agent);
 }
 
-/** A host of one service ends, its address and slot go to one of another. */
+/** Ends a host; a host of the other service gets its address and slot. */
 void PassthroughWorld::ReuseAddress()
 {
-  Agent& agent = *mAgents[Pick(mAgents.size())];
+  Agent& agent = *mAgents[RandomBelow(mAgents.size())];
   agent.mHost->mAlive = false;
-  agent.mFrozen = false;
-  agent.mHeld.clear();
+  agent.mStalled = false;
+  agent.mDeferred.clear();
   agent.mService = agent.mService == "one" ? "other" : "one";
   agent.Start();
   StartHost(agent, agent.mService.c_str());
-  ViewsChanged();
+  ScheduleViewUpdates();
 }
 
-/** The operator's order: each balancer hears of it at its own moment. */
-void PassthroughWorld::Drain()
+/** Drains a data centre; each balancer is notified after a random delay. */
+void PassthroughWorld::DrainDataCentre()
 {
-  mDrains = { mDrains.mVersion + 1, { DataCentreOf(Pick(2)) } };
+  mDrains = { mDrains.mVersion + 1, { DataCentreOf(RandomBelow(2)) } };
   mDrainedAt = mClock.Now();
   for (auto& it : mBalancers) {
-    bool isDeaf = mOptions.mDeafBalancer && it == mBalancers.front();
-    if (isDeaf) {
+    bool missesDrain =
+      mOptions.mOneBalancerMissesDrain && it == mBalancers.front();
+    if (missesDrain) {
       continue;
     }
-    At(Between(0, 100), [this, &balancer = *it] {
+    Schedule(RandomDuration(0, 100), [this, &balancer = *it] {
       balancer.mDrains = mDrains;
       balancer.mSteering->SetDrains(mDrains);
     });
   }
 }
 
-/** A balancer answers the heartbeat of an agent. */
-void PassthroughWorld::TellDrained(Agent& aAgent)
+/** The balancers answer the heartbeat of an agent with the drain, if any. */
+void PassthroughWorld::NotifyDrained(Agent& aAgent)
 {
   for (const auto& it : mBalancers) {
-    if (mOptions.mTellsAgents &&
+    if (mOptions.mNotifyAgents &&
         it->mDrains.Contains(DataCentreOf(aAgent.mIndex))) {
       aAgent.mFlows->OnDrainNotice({ it->mDrains.mVersion }, mClock.Now());
     }
   }
 }
 
-/** Whether all that hear of the drain of an agent's data centre have known it
- * for long enough. */
-bool PassthroughWorld::IsLongDrained(const Agent& aAgent) const
+/** Whether the drain of an agent's data centre was ordered long enough ago that
+ * every notified process knows it, and earlier offers are placed. */
+bool PassthroughWorld::IsDrainPropagated(const Agent& aAgent) const
 {
-  Duration known = kDrainKnownWithin + kOfferedWithin;
-  if (mOptions.mDeafBalancer) {
-    known += kBeatEvery;
+  Duration knownAfter = kDrainPropagationTime + kPlacementTimeout;
+  if (mOptions.mOneBalancerMissesDrain) {
+    knownAfter += kHeartbeatInterval;
   }
   return mDrainedAt && mDrains.Contains(DataCentreOf(aAgent.mIndex)) &&
-         mClock.Now() - *mDrainedAt > known;
+         mClock.Now() - *mDrainedAt > knownAfter;
 }
 
 void PassthroughWorld::CutAgents()
 {
-  Agent& one = *mAgents[Pick(mAgents.size())];
-  std::size_t other = Pick(mAgents.size());
+  Agent& one = *mAgents[RandomBelow(mAgents.size())];
+  std::size_t other = RandomBelow(mAgents.size());
   one.mCutFrom.insert(other);
   mAgents[other]->mCutFrom.insert(one.mIndex);
-  At(Between(50, 900), [this, &one, other] {
+  Schedule(RandomDuration(50, 900), [this, &one, other] {
     one.mCutFrom.erase(other);
     mAgents[other]->mCutFrom.erase(one.mIndex);
   });
--- a/tests/PassthroughWorldHosts.cpp
+++ b/tests/PassthroughWorldHosts.cpp
@@ -1,4 +1,4 @@
-// Hosts, and what balancers hear of them.
+// The simulated hosts, and the membership views that balancers get of them.
 #include "tests/PassthroughWorldParts.h"
 
 namespace heatherplank {
@@ -8,49 +8,50 @@
   auto host = std::make_shared<Host>();
   host->mId = "i-" + std::to_string(aAgent.mIndex);
   host->mService = aService;
-  host->mStartedAt = mNextLife++;
+  host->mStartedAt = mNextStartedAt++;
   aAgent.mHost = host;
-  Announce(aAgent);
+  SendHeartbeat(aAgent);
 }
 
-void PassthroughWorld::Announce(Agent& aAgent)
+void PassthroughWorld::SendHeartbeat(Agent& aAgent)
 {
   auto host = aAgent.mHost;
-  HostAnnouncement beat;
-  beat.mId = host->mId;
-  beat.mStartedAt = host->mStartedAt;
-  beat.mSequence = ++host->mBeats;
-  beat.mPhase = host->mPhase;
-  beat.mSlots = 2;
-  aAgent.Do([this, &aAgent, host, beat] {
-    if (beat.mPhase == HostPhase::Draining && !host->mLeftAt) {
-      host->mLeftAt = mClock.Now();
+  HostAnnouncement announcement;
+  announcement.mId = host->mId;
+  announcement.mStartedAt = host->mStartedAt;
+  announcement.mSequence = ++host->mHeartbeats;
+  announcement.mPhase = host->mPhase;
+  announcement.mSlots = 2;
+  aAgent.RunOrDefer([this, &aAgent, host, announcement] {
+    if (announcement.mPhase == HostPhase::Draining &&
+        !host->mDrainAcknowledgedAt) {
+      host->mDrainAcknowledgedAt = mClock.Now();
     }
     HostState before = aAgent.State();
-    // Agents take calls of hosts of their own service only.
+    // Agents accept calls only from hosts of their service.
     if (host->mService == aAgent.mService) {
-      aAgent.mFlows->OnAnnouncement(beat, mClock.Now());
-      TellDrained(aAgent);
+      aAgent.mFlows->OnAnnouncement(announcement, mClock.Now());
+      NotifyDrained(aAgent);
     }
     if (aAgent.State() != before) {
-      ViewsChanged();
+      ScheduleViewUpdates();
     }
   });
-  At(kBeatEvery, [this, &aAgent, host] {
+  Schedule(kHeartbeatInterval, [this, &aAgent, host] {
     if (host->mAlive && aAgent.mHost == host) {
-      Announce(aAgent);
+      SendHeartbeat(aAgent);
     }
   });
 }
 
-void PassthroughWorld::ViewsChanged()
+void PassthroughWorld::ScheduleViewUpdates()
 {
   for (auto& it : mBalancers) {
-    At(Between(0, 400), [this, &it] { GiveViews(*it); });
+    Schedule(RandomDuration(0, 400), [this, &it] { UpdateViews(*it); });
   }
 }
 
-void PassthroughWorld::GiveViews(Balancer& aBalancer)
+void PassthroughWorld::UpdateViews(Balancer& aBalancer)
 {
   std::vector<MemberViewPtr> views;
   std::vector<ServiceId> services;
@@ -65,7 +66,8 @@
       member.mDataCentre = DataCentreOf(it->mIndex);
       member.mState = it->State();
       member.mTunnel = it->mTunnel;
-      // A process that is down for a moment stays in view until it is missed.
+      // An agent that is briefly down, or whose host is unresponsive, stays in
+      // the view, but gets no new flows.
       if (!it->mFlows || !it->mFlows->Host().IsHeard(mClock.Now())) {
         member.mState =
           it->mHost->mAlive ? HostState::Draining : HostState::Leaving;
@@ -87,29 +89,29 @@
 void PassthroughWorld::ToHost(Agent& aAgent, Bytes aPacket)
 {
   auto host = aAgent.mHost;
-  At(20us, [this, &aAgent, host, packet = std::move(aPacket)] {
+  Schedule(20us, [this, &aAgent, host, packet = std::move(aPacket)] {
     if (!host->mAlive || aAgent.mHost != host) {
       return;
     }
     auto read = mPackets.Parse(packet);
     Bytes plain = packet;
     mPackets.Tag(plain, 0);
-    bool asked =
+    bool isFromCaller =
       std::any_of(mCallers.begin(), mCallers.end(),
                   [&](const auto& aIt) { return aIt->mSent.contains(plain); });
-    if (!read || !asked) {
-      Violated("a host got a packet that no caller wrote");
+    if (!read || !isFromCaller) {
+      AddViolation("a host got a packet that no caller sent");
       return;
     }
     if (read->mSyn) {
-      HostOpens(aAgent, *read);
+      OnSynAtHost(aAgent, *read);
     } else {
-      HostContinues(aAgent, *read, packet);
+      OnPacketAtHost(aAgent, *read, packet);
     }
   });
 }
 
-void PassthroughWorld::HostOpens(Agent& aAgent, const FlowPacket& aPacket)
+void PassthroughWorld::OnSynAtHost(Agent& aAgent, const FlowPacket& aPacket)
 {
   Host& host = *aAgent.mHost;
   FlowKey flow = aPacket.FlowFromCaller();
@@ -118,28 +120,29 @@
     it->second.mSequence = mNextSequence += 1000000;
     const char* wanted = flow.mService == kRouteOne ? "one" : "other";
     if (host.mService != wanted) {
-      Violated("a host of " + host.mService + " got a flow of " + wanted);
+      AddViolation("a host of " + host.mService + " got a flow of " + wanted);
     }
-    if (host.mLeftAt && mClock.Now() > *host.mLeftAt + kOnTheWay) {
-      Violated("a leaving host got a new flow");
+    if (host.mDrainAcknowledgedAt &&
+        mClock.Now() > *host.mDrainAcknowledgedAt + kMaxDeliveryDelay) {
+      AddViolation("a draining host got a new flow");
     }
-    if (IsLongDrained(aAgent)) {
-      Violated("a host of a drained data centre got a new flow");
+    if (IsDrainPropagated(aAgent)) {
+      AddViolation("a host of a drained data centre got a new flow");
     }
   }
   FromHost(aAgent, MakePacket(flow.mService, flow.mCaller, kSyn | kAck,
                               it->second.mSequence, 1, 0));
 }
 
-void PassthroughWorld::HostContinues(Agent& aAgent, const FlowPacket& aPacket,
-                                     Bytes aBytes)
+void PassthroughWorld::OnPacketAtHost(Agent& aAgent, const FlowPacket& aPacket,
+                                      Bytes aBytes)
 {
   Host& host = *aAgent.mHost;
   FlowKey flow = aPacket.FlowFromCaller();
   auto it = host.mFlows.find(flow);
-  bool holds = it != host.mFlows.end() &&
-               aPacket.mAcknowledged - it->second.mSequence <= 1000;
-  if (!holds) {
+  bool holdsFlow = it != host.mFlows.end() &&
+                   aPacket.mAcknowledged - it->second.mSequence <= 1000;
+  if (!holdsFlow) {
     FromHost(aAgent, lab::MakeBounced(std::move(aBytes)));
     return;
   }
@@ -154,8 +157,8 @@
     ++mOpened;
   }
   if (aPacket.mDataLength > 0) {
-    At(Between(5, 40), [this, &aAgent, host = aAgent.mHost, flow,
-                        sequence = it->second.mSequence] {
+    Schedule(RandomDuration(5, 40), [this, &aAgent, host = aAgent.mHost, flow,
+                                     sequence = it->second.mSequence] {
       if (host->mAlive && aAgent.mHost == host) {
         FromHost(aAgent, MakePacket(flow.mService, flow.mCaller, kAck,
                                     sequence + 1, 6, 10));
@@ -166,8 +169,8 @@
 
 void PassthroughWorld::FromHost(Agent& aAgent, Bytes aPacket)
 {
-  At(20us, [this, &aAgent, packet = std::move(aPacket)] {
-    aAgent.Do([this, &aAgent, packet] {
+  Schedule(20us, [this, &aAgent, packet = std::move(aPacket)] {
+    aAgent.RunOrDefer([this, &aAgent, packet] {
       aAgent.mFlows->OnHostPacket(packet, mClock.Now());
     });
   });
@@ -179,10 +182,10 @@
   if (!host || !host->mAlive) {
     return nullptr;
   }
-  bool isThere =
+  bool isAttached =
     std::any_of(mAgents.begin(), mAgents.end(),
                 [&](const auto& aIt) { return aIt->mHost == host; });
-  return isThere ? host.get() : nullptr;
+  return isAttached ? host.get() : nullptr;
 }
 
 } // namespace heatherplank
--- a/tests/PassthroughWorldParts.h
+++ b/tests/PassthroughWorldParts.h
@@ -18,26 +18,29 @@
 inline constexpr int kBalancers = 3;
 inline constexpr int kHostsOfOne = 4;
 inline constexpr int kHostsOfOther = 2;
-inline constexpr auto kTroubleFor = 2500ms;
-inline constexpr auto kCalmAfter = 4000ms;
-inline constexpr auto kBeatEvery = 300ms;
-/** A packet may be on its way from the agent to the host as it leaves. */
-inline constexpr auto kOnTheWay = 5ms;
-
-/** A drain is known to every balancer that hears of it within this, and to an
- * agent a heartbeat later. */
-inline constexpr auto kDrainKnownWithin = 100ms;
-/** What was offered before is placed by then: late copies, and hosts that are
- * offered to again because others were silent. */
-inline constexpr auto kOfferedWithin = 150ms;
-
-/** The data centre of a host: they take turns. */
+inline constexpr auto kFaultDuration = 2500ms;
+inline constexpr auto kRecoveryDuration = 4000ms;
+inline constexpr auto kHeartbeatInterval = 300ms;
+/** A packet may be in transit from the agent to the host when the host starts
+ * to drain. */
+inline constexpr auto kMaxDeliveryDelay = 5ms;
+
+/** Every balancer that is notified of a drain knows it within this time, and an
+ * agent one heartbeat later. */
+inline constexpr auto kDrainPropagationTime = 100ms;
+/** Flows offered to a host before the drain are placed within this time,
+ * including those of delayed retransmissions, and those offered to a second
+ * host because the first ones were unresponsive. */
+inline constexpr auto kPlacementTimeout = 150ms;
+
+/** The data centre of a host: hosts alternate between two. */
 inline DataCentreId DataCentreOf(std::size_t aIndex)
 {
   return MakeDataCentreId(aIndex % 2 == 0 ? "even" : "odd");
 }
 
-inline Address At4(const char* aPrefix, std::size_t aIndex, std::uint16_t aPort)
+inline Address MakeAddress(const char* aPrefix, std::size_t aIndex,
+                           std::uint16_t aPort)
 {
   return *ParseAddress(aPrefix + std::to_string(aIndex + 1) + ":" +
                        std::to_string(aPort));
@@ -46,7 +49,7 @@
 inline const Address kRouteOne = *ParseAddress("198.18.0.1:80");
 inline const Address kRouteOther = *ParseAddress("198.18.0.2:80");
 
-/** A host: opens a flow for each SYN, answers each request. */
+/** A host: opens a flow for each SYN and answers each request. */
 struct PassthroughWorld::Host
 {
   struct Flow
@@ -58,10 +61,10 @@
   std::string mId;
   std::string mService;
   std::int64_t mStartedAt = 0;
-  std::uint64_t mBeats = 0;
+  std::uint64_t mHeartbeats = 0;
   HostPhase mPhase = HostPhase::Ready;
-  /** When its agent acknowledged that it leaves. */
-  std::optional<Time> mLeftAt;
+  /** When its agent acknowledged that it drains. */
+  std::optional<Time> mDrainAcknowledgedAt;
   std::map<FlowKey, Flow> mFlows;
 };
 
@@ -70,39 +73,39 @@
   PassthroughWorld* mWorld = nullptr;
   Address mTunnel;
   std::unique_ptr<FlowSteering> mSteering;
-  bool mFrozen = false;
-  std::vector<std::function<void()>> mHeld;
+  bool mStalled = false;
+  std::vector<std::function<void()>> mDeferred;
   DataCentreDrains mDrains;
 
-  /** Runs now, or when it wakes. */
-  void Do(std::function<void()> aWhat)
+  /** Runs aAction now, or when the balancer resumes. */
+  void RunOrDefer(std::function<void()> aAction)
   {
-    if (mFrozen) {
-      mHeld.push_back(std::move(aWhat));
+    if (mStalled) {
+      mDeferred.push_back(std::move(aAction));
     } else {
-      aWhat();
+      aAction();
     }
   }
 
-  void Wake()
+  void Resume()
   {
-    mFrozen = false;
+    mStalled = false;
     mSteering->OnStandstill(mWorld->mClock.Now());
-    for (auto& it : std::exchange(mHeld, {})) {
+    for (auto& it : std::exchange(mDeferred, {})) {
       it();
     }
   }
 
   void Start()
   {
-    mFrozen = false;
-    mHeld.clear();
+    mStalled = false;
+    mDeferred.clear();
     mSteering = std::make_unique<FlowSteering>(
       FlowSteering::Options{ mTunnel, MakeDataCentreId("z"), 64 },
       mWorld->mPackets, *this);
     mSteering->SetInventory(mWorld->mInventory);
     mSteering->SetDrains(mDrains);
-    mWorld->GiveViews(*this);
+    mWorld->UpdateViews(*this);
   }
 
   void Steer(const Address& aAgent, const SteeredPacket& aPacket) override
@@ -124,8 +127,8 @@
   std::string mService;
   std::unique_ptr<HostFlows> mFlows;
   std::shared_ptr<Host> mHost;
-  bool mFrozen = false;
-  std::vector<std::function<void()>> mHeld;
+  bool mStalled = false;
+  std::vector<std::function<void()>> mDeferred;
   std::set<std::size_t> mCutFrom;
 
   void Start()
@@ -135,19 +138,20 @@
     options.mSelf = mTunnel;
     options.mService = MakeServiceId(mService);
     options.mMaxFlows = 256;
-    options.mSilentAfter = 3 * kBeatEvery;
+    options.mSilentAfter = 3 * kHeartbeatInterval;
     options.mGuards = mWorld->mOptions.mGuards;
     mFlows = std::make_unique<HostFlows>(options, mWorld->mPackets, *this,
                                          mWorld->mClock.Now());
   }
 
-  /** Runs now, when it wakes, or never if it was killed meanwhile. */
-  void Do(std::function<void()> aWhat)
+  /** Runs aAction now, or when the agent resumes, or never if the agent is
+   * killed before. */
+  void RunOrDefer(std::function<void()> aAction)
   {
-    if (mFrozen) {
-      mHeld.push_back(std::move(aWhat));
+    if (mStalled) {
+      mDeferred.push_back(std::move(aAction));
     } else if (mFlows) {
-      aWhat();
+      aAction();
     }
   }
 
@@ -190,7 +194,8 @@
   }
 };
 
-/** A caller of one flow: opens it, sends one request until it is answered. */
+/** A caller of one flow: opens it, and sends one request until it is answered.
+ */
 struct PassthroughWorld::Caller
 {
   FlowKey mFlow;
@@ -199,7 +204,7 @@
   bool mAccepted = false;
   bool mAnswered = false;
   std::uint32_t mHostSequence = 0;
-  /** The host that opened the flow. */
+  /** The host that last received a packet of the open flow. */
   std::weak_ptr<Host> mHost;
   std::set<Bytes> mSent;
   int mReceivedByHost = 0;
--- a/tests/RoutesFleet.h
+++ b/tests/RoutesFleet.h
@@ -15,8 +15,10 @@
 
 namespace heatherplank {
 
-/** Balancers that keep their routes, over links that carry so many bytes a
- * second each way, and the store. No network; time is moved by Run. */
+/** Simulates a fleet of balancers with InventoryExchange, links of limited
+ * bandwidth in each direction, and the store. No network; Run advances the
+ * time.
+ */
 class RoutesFleet
 {
 public:
@@ -26,9 +28,9 @@
     std::size_t mDataCentres = 5;
     double mLinkMbps = 2;
     std::size_t mDocumentBytes = 160000;
-    Duration mInForceWithin = std::chrono::milliseconds(3000);
-    /** How long a message is under way, beside its time on the links. */
-    Duration mTrip{};
+    Duration mPropagationTimeout = std::chrono::milliseconds(3000);
+    /** Delay of each message in addition to its transmission time. */
+    Duration mLatency{};
   };
 
   explicit RoutesFleet(const Options& aOptions)
@@ -46,14 +48,14 @@
   }
 
   /** The operator changes the routes. */
-  void Change(std::uint64_t aVersion)
+  void ChangeRoutes(std::uint64_t aVersion)
   {
     mVersion = aVersion;
     ++mRevision;
     mDocument = std::to_string(aVersion) + " ";
     std::minstd_rand random(static_cast<std::uint32_t>(aVersion));
     while (mDocument.size() < mOptions.mDocumentBytes) {
-      // As good as incompressible: packed, it still fills links.
+      // Random text: compressed, it still fills links.
       mDocument.push_back(static_cast<char>(' ' + random() % 95));
     }
     auto waiting = std::move(mWatches);
@@ -66,14 +68,14 @@
   void Start(std::size_t aNode)
   {
     Node& node = *mNodes[aNode];
-    ++node.mLife;
+    ++node.mIncarnation;
     node.mVersion = 0;
-    node.mDrained = kUnknown;
-    node.mSeen = 0;
-    node.mGotDocuments = 0;
+    node.mDrained = kUnknownDrains;
+    node.mSeenRevision = 0;
+    node.mDocumentsReceived = 0;
     node.mSender = std::make_unique<Sender>(*this, aNode);
     node.mStore = std::make_unique<Store>(*this, aNode);
-    std::uint64_t seed = MixHash(node.mSelf.mHost.mValue, node.mLife);
+    std::uint64_t seed = MixHash(node.mSelf.mHost.mValue, node.mIncarnation);
     node.mRoutes = std::make_unique<InventoryExchange>(InventoryExchange::Parts{
       mClock,
       *node.mSender,
@@ -82,7 +84,7 @@
       { .mKey = "k", .mSchedule = { .mSeed = seed } },
       { .mKind = "drains", .mSchedule = { .mSeed = seed + 1 } },
       { node.mSelf.mControl, BytesPerSecond(), seed },
-      { node.mSelf.mHost, node.mSelf.mDataCentre, mOptions.mInForceWithin,
+      { node.mSelf.mHost, node.mSelf.mDataCentre, mOptions.mPropagationTimeout,
         mClock.Now(), seed },
       [this, aNode] { return Others(aNode); },
       [this, aNode] { return std::vector<Address>{ Seed(aNode) }; },
@@ -99,7 +101,7 @@
     }
   }
 
-  /** The operator drains data centres, and takes the others back. */
+  /** The operator drains exactly these data centres. */
   void Drain(std::vector<std::string> aNames)
   {
     mDrained = std::move(aNames);
@@ -109,34 +111,40 @@
     }
   }
 
-  /** How many balancers know that exactly so many are drained. */
+  /** The number of balancers that know exactly aDataCentres drained data
+   * centres.
+   */
   std::size_t CountDraining(std::size_t aDataCentres) const
   {
     return static_cast<std::size_t>(std::ranges::count_if(
       mNodes, [&](const auto& aIt) { return aIt->mDrained == aDataCentres; }));
   }
 
-  /** How long it takes until all know that so many are drained. */
-  Duration UntilAllDrain(std::size_t aDataCentres, Duration aMost)
+  /** Runs until all balancers know aDataCentres drained data centres; returns
+   * the time that it took, aTimeout if they don't by then. */
+  Duration TimeUntilAllDrain(std::size_t aDataCentres, Duration aTimeout)
   {
     Time began = mClock.Now();
-    while (mClock.Now() - began < aMost &&
+    while (mClock.Now() - began < aTimeout &&
            CountDraining(aDataCentres) < mNodes.size()) {
       Run(std::chrono::milliseconds(5));
     }
     return mClock.Now() - began;
   }
 
-  /** Nobody gets answers from the store from now on. */
+  /** No balancer gets responses from the store from now on. */
   void CutAllFromStore()
   {
     for (auto& it : mNodes) {
-      it->mIsCut = true;
+      it->mIsCutFromStore = true;
     }
   }
 
-  /** A balancer gets no answers from the store from now on. */
-  void CutFromStore(std::size_t aNode) { mNodes[aNode]->mIsCut = true; }
+  /** One balancer gets no responses from the store from now on. */
+  void CutFromStore(std::size_t aNode)
+  {
+    mNodes[aNode]->mIsCutFromStore = true;
+  }
 
   void Run(Duration aFor)
   {
@@ -147,7 +155,7 @@
         mEvents.erase(mEvents.begin());
         event();
       }
-      if (++mMs % 50 == 0) {
+      if (++mElapsedMs % 50 == 0) {
         for (auto& it : mNodes) {
           it->mRoutes->OnTick();
         }
@@ -155,60 +163,65 @@
     }
   }
 
-  /** How long it takes until all have a version; aMost if some do not by then.
-   */
-  Duration UntilAllHave(std::uint64_t aVersion, Duration aMost)
+  /** Runs until all balancers have a version; returns the time that it took,
+   * aTimeout if some don't by then. */
+  Duration TimeUntilAllHave(std::uint64_t aVersion, Duration aTimeout)
   {
     Time began = mClock.Now();
-    while (mClock.Now() - began < aMost && CountOf(aVersion) < mNodes.size()) {
+    while (mClock.Now() - began < aTimeout &&
+           CountWithVersion(aVersion) < mNodes.size()) {
       Run(std::chrono::milliseconds(5));
     }
     return mClock.Now() - began;
   }
 
-  std::size_t CountOf(std::uint64_t aVersion) const
+  std::size_t CountWithVersion(std::uint64_t aVersion) const
   {
     return static_cast<std::size_t>(std::ranges::count_if(
       mNodes, [&](const auto& aIt) { return aIt->mVersion == aVersion; }));
   }
 
-  /** Documents that came to a balancer since its start, from peers and from
-   * the store. */
+  /** Documents that a balancer received since its start, from peers and the
+   * store.
+   */
   std::size_t DocumentsAt(std::size_t aNode) const
   {
-    return mNodes[aNode]->mGotDocuments;
+    return mNodes[aNode]->mDocumentsReceived;
   }
 
-  /** How long a packet that a caller sends now waits for a balancer's link. */
+  /** How long a packet sent by a caller now would be queued for a balancer's
+   * link.
+   */
   Duration BacklogAt(std::size_t aNode) const
   {
-    return std::max(mNodes[aNode]->mInFreeAt - mClock.Now(), Duration::zero());
+    return std::max(mNodes[aNode]->mInLinkFreeAt - mClock.Now(),
+                    Duration::zero());
   }
 
   std::size_t StoreCalls() const { return mStoreCalls; }
 
-  /** Balancers that have a watch at the store. */
+  /** Balancers with a pending watch at the store. */
   std::vector<std::size_t> Watching() const { return mWatching; }
 
 private:
-  static constexpr std::size_t kUnknown = 1000;
+  static constexpr std::size_t kUnknownDrains = 1000;
 
   struct Node
   {
     Member mSelf;
-    std::uint64_t mLife = 0;
+    std::uint64_t mIncarnation = 0;
     std::unique_ptr<MessageSender> mSender;
     std::unique_ptr<ObjectStore> mStore;
     std::unique_ptr<InventoryExchange> mRoutes;
     std::uint64_t mVersion = 0;
-    /** Data centres that it knows to be drained. */
-    std::size_t mDrained = kUnknown;
-    /** The store's version that its last answer told. */
-    std::uint64_t mSeen = 0;
-    std::size_t mGotDocuments = 0;
-    bool mIsCut = false;
-    Time mOutFreeAt{};
-    Time mInFreeAt{};
+    /** The number of data centres that it knows to be drained. */
+    std::size_t mDrained = kUnknownDrains;
+    /** The store's version in the last response. */
+    std::uint64_t mSeenRevision = 0;
+    std::size_t mDocumentsReceived = 0;
+    bool mIsCutFromStore = false;
+    Time mOutLinkFreeAt{};
+    Time mInLinkFreeAt{};
   };
 
   class Sender final : public MessageSender
@@ -221,7 +234,7 @@
     }
     void Send(const Address& aTo, MessageKind aKind, ByteView aPayload) override
     {
-      mFleet.Carry(mNode, aTo, aKind, { aPayload.begin(), aPayload.end() });
+      mFleet.Transmit(mNode, aTo, aKind, { aPayload.begin(), aPayload.end() });
     }
 
   private:
@@ -240,7 +253,7 @@
     void Get(std::string_view, Done<Object> aDone) override
     {
       ++mFleet.mStoreCalls;
-      mFleet.Answer(mNode, [this, done = std::move(aDone)] {
+      mFleet.SendDocument(mNode, [this, done = std::move(aDone)] {
         done(Object{ "k", mFleet.mDocument, mFleet.mVersion });
       });
     }
@@ -248,7 +261,7 @@
                Done<std::optional<Object>> aDone) override
     {
       ++mFleet.mStoreCalls;
-      mFleet.Wait(mNode, aAfter, aWait, aDone);
+      mFleet.WatchObject(mNode, aAfter, aWait, aDone);
     }
     void Put(std::string_view, std::string, WriteCondition,
              Done<std::uint64_t>) override
@@ -261,11 +274,11 @@
     void WatchNames(std::string_view, std::uint64_t aAfter, Duration aWait,
                     Done<NameChange> aDone) override
     {
-      mFleet.WaitForNames(mNode, aAfter, aWait, std::move(aDone));
+      mFleet.WatchNames(mNode, aAfter, aWait, std::move(aDone));
     }
     std::uint64_t SeenVersion() const override
     {
-      return mFleet.mNodes[mNode]->mSeen;
+      return mFleet.mNodes[mNode]->mSeenRevision;
     }
 
   private:
@@ -273,7 +286,7 @@
     std::size_t mNode;
   };
 
-  /** The version stands before the first space. */
+  /** Parses the version before the first space. */
   class Reader final : public FlowInventoryReader
   {
   public:
@@ -288,81 +301,86 @@
 
   double BytesPerSecond() const { return mOptions.mLinkMbps * 125000; }
 
-  Duration TakenBy(std::size_t aBytes) const
+  Duration TransmissionTime(std::size_t aBytes) const
   {
     return std::chrono::duration_cast<Duration>(std::chrono::duration<double>(
       static_cast<double>(aBytes) / BytesPerSecond()));
   }
 
-  void At(Time aWhen, std::function<void()> aEvent)
+  void Schedule(Time aWhen, std::function<void()> aEvent)
   {
     mEvents.emplace(aWhen, std::move(aEvent));
   }
 
-  /** When bytes that a balancer is sent from now on have come. */
-  Time Receive(Node& aNode, std::size_t aBytes, Time aFrom)
+  /** Reserves a balancer's receiving link; returns when the last byte arrives.
+   */
+  Time ReserveReceiveLink(Node& aNode, std::size_t aBytes, Time aFrom)
   {
-    aNode.mInFreeAt = std::max(aNode.mInFreeAt, aFrom) + TakenBy(aBytes);
-    return aNode.mInFreeAt;
+    aNode.mInLinkFreeAt =
+      std::max(aNode.mInLinkFreeAt, aFrom) + TransmissionTime(aBytes);
+    return aNode.mInLinkFreeAt;
   }
 
-  void Carry(std::size_t aFrom, const Address& aTo, MessageKind aKind,
-             Bytes aPayload)
+  void Transmit(std::size_t aFrom, const Address& aTo, MessageKind aKind,
+                Bytes aPayload)
   {
     Node& from = *mNodes[aFrom];
     Node& to = *mNodes[aTo.mPort - 1U];
-    Time begins = std::max(from.mOutFreeAt, mClock.Now());
-    from.mOutFreeAt = begins + TakenBy(aPayload.size());
-    // The receiver's link carries the first bytes while the last are sent.
-    Time at = std::max(from.mOutFreeAt, Receive(to, aPayload.size(), begins)) +
-              mOptions.mTrip;
-    At(at, [&to, life = to.mLife, aKind, payload = std::move(aPayload)] {
-      if (to.mLife == life) {
-        Take(to, aKind, payload);
+    Time begins = std::max(from.mOutLinkFreeAt, mClock.Now());
+    from.mOutLinkFreeAt = begins + TransmissionTime(aPayload.size());
+    // The receiver's link transfers the first bytes while the last are sent.
+    Time at = std::max(from.mOutLinkFreeAt,
+                       ReserveReceiveLink(to, aPayload.size(), begins)) +
+              mOptions.mLatency;
+    Schedule(at, [&to, incarnation = to.mIncarnation, aKind,
+                  payload = std::move(aPayload)] {
+      if (to.mIncarnation == incarnation) {
+        Deliver(to, aKind, payload);
       }
     });
   }
 
-  static void Take(Node& aNode, MessageKind aKind, const Bytes& aPayload)
+  static void Deliver(Node& aNode, MessageKind aKind, const Bytes& aPayload)
   {
     if (aKind == MessageKind::InventoryNotice) {
       aNode.mRoutes->OnNotice(*DecodeInventoryNotice(aPayload));
       return;
     }
-    ++aNode.mGotDocuments;
+    ++aNode.mDocumentsReceived;
     aNode.mRoutes->OnDocument(*DecodeInventoryDocument(aPayload));
   }
 
-  /** Carries the document to a balancer, then calls aDone. */
-  void Answer(std::size_t aNode, std::function<void()> aDone)
+  /** Transfers the document from the store to a balancer, then calls aDone. */
+  void SendDocument(std::size_t aNode, std::function<void()> aDone)
   {
     Node& node = *mNodes[aNode];
-    if (node.mIsCut) {
+    if (node.mIsCutFromStore) {
       return;
     }
-    Time at = Receive(node, mDocument.size(),
-                      mClock.Now() + std::chrono::milliseconds(4));
-    At(at, [&node, life = node.mLife, revision = mRevision,
-            done = std::move(aDone)] {
-      if (node.mLife == life) {
-        ++node.mGotDocuments;
-        node.mSeen = revision;
+    Time at = ReserveReceiveLink(node, mDocument.size(),
+                                 mClock.Now() + std::chrono::milliseconds(4));
+    Schedule(at, [&node, incarnation = node.mIncarnation, revision = mRevision,
+                  done = std::move(aDone)] {
+      if (node.mIncarnation == incarnation) {
+        ++node.mDocumentsReceived;
+        node.mSeenRevision = revision;
         done();
       }
     });
   }
 
-  void Wait(std::size_t aNode, std::uint64_t aAfter, Duration aWait,
-            const ObjectStore::Done<std::optional<Object>>& aDone)
+  void WatchObject(std::size_t aNode, std::uint64_t aAfter, Duration aWait,
+                   const ObjectStore::Done<std::optional<Object>>& aDone)
   {
     Node& node = *mNodes[aNode];
     auto ended = std::make_shared<bool>(false);
     mWatching.push_back(aNode);
-    auto changed = [this, aNode, ended, life = node.mLife, aDone] {
-      if (!*ended && mNodes[aNode]->mLife == life) {
+    auto changed = [this, aNode, ended, incarnation = node.mIncarnation,
+                    aDone] {
+      if (!*ended && mNodes[aNode]->mIncarnation == incarnation) {
         *ended = true;
         std::erase(mWatching, aNode);
-        Answer(aNode, [this, aDone] {
+        SendDocument(aNode, [this, aDone] {
           aDone(std::optional(Object{ "k", mDocument, mVersion }));
         });
       }
@@ -372,26 +390,29 @@
       return;
     }
     mWatches.push_back(changed);
-    At(mClock.Now() + aWait, [this, aNode, ended, life = node.mLife, aDone] {
-      if (*ended || mNodes[aNode]->mLife != life || mNodes[aNode]->mIsCut) {
-        return;
-      }
-      *ended = true;
-      std::erase(mWatching, aNode);
-      mNodes[aNode]->mSeen = mRevision;
-      aDone(std::optional<Object>());
-    });
+    Schedule(mClock.Now() + aWait,
+             [this, aNode, ended, incarnation = node.mIncarnation, aDone] {
+               if (*ended || mNodes[aNode]->mIncarnation != incarnation ||
+                   mNodes[aNode]->mIsCutFromStore) {
+                 return;
+               }
+               *ended = true;
+               std::erase(mWatching, aNode);
+               mNodes[aNode]->mSeenRevision = mRevision;
+               aDone(std::optional<Object>());
+             });
   }
 
-  void WaitForNames(std::size_t aNode, std::uint64_t aAfter, Duration aWait,
-                    ObjectStore::Done<NameChange> aDone)
+  void WatchNames(std::size_t aNode, std::uint64_t aAfter, Duration aWait,
+                  ObjectStore::Done<NameChange> aDone)
   {
     ++mStoreCalls;
     auto ended = std::make_shared<bool>(false);
-    auto answer = [this, aNode, ended, life = mNodes[aNode]->mLife,
+    auto answer = [this, aNode, ended,
+                   incarnation = mNodes[aNode]->mIncarnation,
                    done = std::move(aDone)](bool aChanged) {
       Node& node = *mNodes[aNode];
-      if (*ended || node.mLife != life || node.mIsCut) {
+      if (*ended || node.mIncarnation != incarnation || node.mIsCutFromStore) {
         return;
       }
       *ended = true;
@@ -399,20 +420,20 @@
       if (aChanged) {
         change.mNames = mDrained;
       }
-      At(mClock.Now() + std::chrono::milliseconds(4),
-         [&node, life, done, change] {
-           if (node.mLife == life) {
-             node.mSeen = change.mAsOf;
-             done(change);
-           }
-         });
+      Schedule(mClock.Now() + std::chrono::milliseconds(4),
+               [&node, incarnation, done, change] {
+                 if (node.mIncarnation == incarnation) {
+                   node.mSeenRevision = change.mAsOf;
+                   done(change);
+                 }
+               });
     };
     if (aAfter == 0 || aAfter < mDrainsVersion) {
       answer(true);
       return;
     }
     mNameWatches.emplace_back([answer] { answer(true); });
-    At(mClock.Now() + aWait, [answer] { answer(false); });
+    Schedule(mClock.Now() + aWait, [answer] { answer(false); });
   }
 
   std::vector<Member> Others(std::size_t aNode) const
@@ -444,7 +465,7 @@
   std::uint64_t mVersion = 0;
   std::string mDocument;
   std::size_t mStoreCalls = 0;
-  std::uint64_t mMs = 0;
+  std::uint64_t mElapsedMs = 0;
   std::vector<std::unique_ptr<Node>> mNodes;
 };
 
--- a/tests/RoutesFleetTest.cpp
+++ b/tests/RoutesFleetTest.cpp
@@ -7,20 +7,20 @@
 
 TEST_GROUP(RoutesFleet){};
 
-// Balancers with links of 2 Mbit/s are replaced in turn after the operator
-// wrote 1,000 routes. Callers of a new one wait for seconds: it asked eight
-// others for the document, again and again, and each copy holds its link, and
+// Balancers with links of 2 Mbit/s are replaced in turn while 1,000 routes are
+// in force. A new balancer that requests the document from eight others
+// repeatedly delays its callers for seconds: each copy occupies its link, and
 // the sender's, for more than half a second.
-TEST(RoutesFleet, ARestartBringsOneDocumentOverAThinLink)
+TEST(RoutesFleet, ARestartedBalancerReceivesOneDocumentOverASlowLink)
 {
   RoutesFleet fleet({});
-  fleet.Change(17);
+  fleet.ChangeRoutes(17);
   fleet.StartAll();
-  fleet.UntilAllHave(17, 5s);
+  fleet.TimeUntilAllHave(17, 5s);
   fleet.Run(5s);
   for (std::size_t restarted : { 3, 6, 9 }) {
     fleet.Start(restarted);
-    Duration took = fleet.UntilAllHave(17, 5s);
+    Duration took = fleet.TimeUntilAllHave(17, 5s);
     CHECK_TRUE(took <= 1s);
     fleet.Run(3s);
     CHECK_TRUE(fleet.DocumentsAt(restarted) <= 2);
@@ -30,15 +30,15 @@
   }
 }
 
-// Everything lost power. All balancers start at once over thin links; none has
-// the routes, and each must have them about as soon as its own link carries the
-// document, which no traffic between them may delay.
-TEST(RoutesFleet, AMassReturnBringsOneDocumentToEach)
+// After a power loss of all data centres all balancers start at once, with slow
+// links and without routes. Each must have the routes about as soon as its link
+// can transfer the document; traffic between balancers must not delay it.
+TEST(RoutesFleet, ASimultaneousStartTransfersOneDocumentToEach)
 {
   RoutesFleet fleet({});
-  fleet.Change(17);
+  fleet.ChangeRoutes(17);
   fleet.StartAll();
-  Duration took = fleet.UntilAllHave(17, 5s);
+  Duration took = fleet.TimeUntilAllHave(17, 5s);
   CHECK_TRUE(took <= 1500ms);
   fleet.Run(500ms);
   for (std::size_t i = 0; i < 10; ++i) {
@@ -47,66 +47,67 @@
   }
 }
 
-// The operator changes the routes of hundreds of balancers. Three hear of it
-// from the store; the others must have it from them within the time that a
-// change may take, and the store is called by few.
+// The operator changes the routes of a large fleet. Three balancers are
+// notified by the store; the others must get the routes from them within the
+// propagation timeout, and few balancers call the store.
 TEST(RoutesFleet, AChangeReachesALargeFleetThroughAFewWatchers)
 {
   RoutesFleet fleet({ .mBalancers = 91, .mLinkMbps = 20 });
-  fleet.Change(17);
+  fleet.ChangeRoutes(17);
   fleet.StartAll();
-  fleet.UntilAllHave(17, 5s);
+  fleet.TimeUntilAllHave(17, 5s);
   fleet.Run(10s);
   std::size_t before = fleet.StoreCalls();
   fleet.Run(10s);
   // Three watches of 0.75 to 1.5 s each.
   CHECK_TRUE(fleet.StoreCalls() - before <= 45);
-  fleet.Change(23);
-  CHECK_TRUE(fleet.UntilAllHave(23, 5s) <= 3s);
+  fleet.ChangeRoutes(23);
+  CHECK_TRUE(fleet.TimeUntilAllHave(23, 5s) <= 3s);
 }
 
-// The watchers of a large fleet are cut off from the store without a sign, and
-// the operator changes the routes just then. Nobody tells the others, so they
-// must find out by themselves within the time that a change may take.
-TEST(RoutesFleet, AChangeReachesAllAlthoughTheWatchersAreCutOff)
+// The watchers of a large fleet are cut off from the store without an error,
+// and the operator changes the routes at that moment. The others are not
+// notified and must read the change from the store within the propagation
+// timeout.
+TEST(RoutesFleet, AChangeReachesAllWhileTheWatchersAreCutOff)
 {
   RoutesFleet fleet({ .mBalancers = 91, .mLinkMbps = 20 });
-  fleet.Change(17);
+  fleet.ChangeRoutes(17);
   fleet.StartAll();
-  fleet.UntilAllHave(17, 5s);
+  fleet.TimeUntilAllHave(17, 5s);
   fleet.Run(10s);
   auto watching = fleet.Watching();
   CHECK_TRUE(!watching.empty() && watching.size() <= 3);
   for (std::size_t it : watching) {
     fleet.CutFromStore(it);
   }
-  fleet.Change(23);
-  CHECK_TRUE(fleet.UntilAllHave(23, 5s) <= 3s);
+  fleet.ChangeRoutes(23);
+  CHECK_TRUE(fleet.TimeUntilAllHave(23, 5s) <= 3s);
 }
 
-// Guards against a data centre that loses power with flows which some balancers
-// still placed there.
+// Guards against balancers that still place flows in a drained data centre when
+// it loses power.
 TEST(RoutesFleet, ADrainReachesALargeFleetWithinASecond)
 {
   RoutesFleet fleet({ .mBalancers = 91, .mLinkMbps = 20 });
-  fleet.Change(17);
+  fleet.ChangeRoutes(17);
   fleet.StartAll();
-  fleet.UntilAllHave(17, 5s);
+  fleet.TimeUntilAllHave(17, 5s);
   fleet.Run(10s);
   fleet.Drain({ "dc-1" });
-  CHECK_TRUE(fleet.UntilAllDrain(1, 5s) <= 1s);
+  CHECK_TRUE(fleet.TimeUntilAllDrain(1, 5s) <= 1s);
   fleet.Drain({});
-  CHECK_TRUE(fleet.UntilAllDrain(0, 5s) <= 1s);
+  CHECK_TRUE(fleet.TimeUntilAllDrain(0, 5s) <= 1s);
 }
 
-// Guards against order and take-back that overtake each other on the way to
-// balancers which do not watch.
-TEST(RoutesFleet, ADrainThatFlipsEndsWhereTheOperatorLeftIt)
+// Guards against a drain and its cancellation that are reordered on the way to
+// balancers without a watch.
+TEST(RoutesFleet, RepeatedDrainsAndCancellationsEndInTheLastState)
 {
   RoutesFleet fleet({ .mBalancers = 30, .mLinkMbps = 20 });
-  fleet.Change(17);
+  fleet.ChangeRoutes(17);
   fleet.StartAll();
-  fleet.UntilAllHave(17, 5s);
+  fleet.TimeUntilAllHave(17, 5s);
   fleet.Run(5s);
   for (int i = 0; i < 5; ++i) {
     fleet.Drain({ "dc-1", "dc-2" });
@@ -114,58 +115,59 @@
     fleet.Drain({ "dc-2" });
     fleet.Run(90ms);
   }
-  CHECK_TRUE(fleet.UntilAllDrain(1, 5s) <= 1s);
+  CHECK_TRUE(fleet.TimeUntilAllDrain(1, 5s) <= 1s);
   fleet.Run(5s);
   CHECK_EQUAL(30, fleet.CountDraining(1));
 }
 
-// Guards against a balancer that starts while the store is away and routes
-// without knowing the drain.
-TEST(RoutesFleet, ABalancerWithoutTheStoreLearnsADrainFromItsPeers)
+// Guards against a balancer that starts while the store is unavailable and
+// routes without knowing the drain.
+TEST(RoutesFleet, ABalancerWithoutTheStoreReceivesDrainsFromItsPeers)
 {
   RoutesFleet fleet({});
-  fleet.Change(17);
+  fleet.ChangeRoutes(17);
   fleet.StartAll();
-  fleet.UntilAllHave(17, 5s);
+  fleet.TimeUntilAllHave(17, 5s);
   fleet.Drain({ "dc-1" });
-  fleet.UntilAllDrain(1, 5s);
+  fleet.TimeUntilAllDrain(1, 5s);
   fleet.CutAllFromStore();
   fleet.Start(3);
-  CHECK_TRUE(fleet.UntilAllHave(17, 5s) <= 1500ms);
+  CHECK_TRUE(fleet.TimeUntilAllHave(17, 5s) <= 1500ms);
   CHECK_EQUAL(10, fleet.CountDraining(1));
 }
 
-// Guards against watchers that are cut off from the store while the others rely
-// on them.
-TEST(RoutesFleet, ADrainIsHeardInTimeWhenTheWatchersAreCutOff)
+// Guards against a missed drain when the watchers are cut off from the store
+// while the others rely on them.
+TEST(RoutesFleet, ADrainReachesAllInTimeWhileTheWatchersAreCutOff)
 {
   RoutesFleet fleet({ .mBalancers = 30, .mLinkMbps = 20 });
-  fleet.Change(17);
+  fleet.ChangeRoutes(17);
   fleet.StartAll();
-  fleet.UntilAllHave(17, 5s);
+  fleet.TimeUntilAllHave(17, 5s);
   fleet.Run(5s);
   for (std::size_t it : fleet.Watching()) {
     fleet.CutFromStore(it);
   }
   fleet.Drain({ "dc-1" });
-  CHECK_TRUE(fleet.UntilAllDrain(1, 5s) <= 3000ms);
+  CHECK_TRUE(fleet.TimeUntilAllDrain(1, 5s) <= 3000ms);
 }
 
-// Guards against notices that are long under way and keep a confirmation young
-// while the watchers are cut off.
-TEST(RoutesFleet, SlowNoticesDoNotHideADrain)
+// Guards against a missed drain when delayed notices make a confirmation look
+// more recent than it is, while the watchers are cut off.
+TEST(RoutesFleet, DelayedNoticesDoNotHideADrain)
 {
-  for (Duration trip : { 20ms, 50ms, 100ms }) {
-    RoutesFleet fleet({ .mBalancers = 91, .mLinkMbps = 20, .mTrip = trip });
-    fleet.Change(17);
+  for (Duration latency : { 20ms, 50ms, 100ms }) {
+    RoutesFleet fleet(
+      { .mBalancers = 91, .mLinkMbps = 20, .mLatency = latency });
+    fleet.ChangeRoutes(17);
     fleet.StartAll();
-    fleet.UntilAllHave(17, 5s);
+    fleet.TimeUntilAllHave(17, 5s);
     fleet.Run(5s);
     for (std::size_t it : fleet.Watching()) {
       fleet.CutFromStore(it);
     }
     fleet.Run(1500ms);
     fleet.Drain({ "dc-1" });
-    CHECK_TRUE(fleet.UntilAllDrain(1, 5s) <= 3000ms);
+    CHECK_TRUE(fleet.TimeUntilAllDrain(1, 5s) <= 3000ms);
   }
 }
--- a/tests/StoreWatchDutyTest.cpp
+++ b/tests/StoreWatchDutyTest.cpp
@@ -12,7 +12,7 @@
 
 namespace {
 
-constexpr Duration kInForceWithin = 3000ms;
+constexpr Duration kPropagationTimeout = 3000ms;
 
 std::vector<Member> MakeFleet(std::size_t aCount, std::size_t aDataCentres)
 {
@@ -32,10 +32,10 @@
   ManualClock mClock;
   const Time mStartedAt = mClock.Now();
 
-  StoreWatchDuty DutyOf(const Member& aSelf) const
+  StoreWatchDuty MakeDuty(const Member& aSelf) const
   {
     return StoreWatchDuty(
-      { aSelf.mHost, aSelf.mDataCentre, kInForceWithin, mStartedAt, 1 });
+      { aSelf.mHost, aSelf.mDataCentre, kPropagationTimeout, mStartedAt, 1 });
   }
 
   static std::vector<Member> Without(const std::vector<Member>& aFleet,
@@ -47,16 +47,16 @@
     return out;
   }
 
-  /** Those that watch a second after their start, as all were told just now
-   * that the store confirms what they have. */
+  /** The balancers that watch one second after their start, if each of them has
+   * just received a confirmation. */
   std::vector<Member> Watchers(const std::vector<Member>& aFleet)
   {
-    Time now = mStartedAt + StoreWatchDuty::kSeesOthersWithin;
+    Time now = mStartedAt + StoreWatchDuty::kPeerDiscoveryTimeout;
     std::vector<Member> out;
     for (const Member& it : aFleet) {
-      auto duty = DutyOf(it);
+      auto duty = MakeDuty(it);
       duty.OnConfirmed(now);
-      if (duty.WatchFor(Without(aFleet, it), true, false, now)) {
+      if (duty.WatchDuration(Without(aFleet, it), true, false, now)) {
         out.push_back(it);
       }
     }
@@ -64,50 +64,49 @@
   }
 };
 
-TEST(StoreWatchDuty, AllOfASmallFleetWatch)
+TEST(StoreWatchDuty, AllBalancersOfASmallFleetWatch)
 {
-  CHECK_EQUAL(StoreWatchDuty::kAllUpTo,
-              Watchers(MakeFleet(StoreWatchDuty::kAllUpTo, 3)).size());
+  CHECK_EQUAL(StoreWatchDuty::kSmallFleetSize,
+              Watchers(MakeFleet(StoreWatchDuty::kSmallFleetSize, 3)).size());
 }
 
-// Hundreds of balancers with a watch each take the store's rates, and read a
-// large document hundreds of times at each change.
-TEST(StoreWatchDuty, AFewOfALargeFleetWatchInDifferentDataCentres)
+// A watch on each of hundreds of balancers exhausts the store's rate limits,
+// and a large document is read hundreds of times at each change.
+TEST(StoreWatchDuty, FewBalancersOfALargeFleetWatchInDifferentDataCentres)
 {
   for (std::size_t n : { 9, 91, 300 }) {
     auto watchers = Watchers(MakeFleet(n, 5));
-    CHECK_EQUAL(StoreWatchDuty::kWatchers, watchers.size());
+    CHECK_EQUAL(StoreWatchDuty::kWatcherCount, watchers.size());
     std::set<std::uint64_t> dataCentres;
     for (const Member& it : watchers) {
       dataCentres.insert(it.mDataCentre.mValue);
     }
-    CHECK_EQUAL(StoreWatchDuty::kWatchers, dataCentres.size());
+    CHECK_EQUAL(StoreWatchDuty::kWatcherCount, dataCentres.size());
   }
-  CHECK_EQUAL(StoreWatchDuty::kWatchers, Watchers(MakeFleet(91, 1)).size());
+  CHECK_EQUAL(StoreWatchDuty::kWatcherCount, Watchers(MakeFleet(91, 1)).size());
 }
 
-// All watchers are cut off from the store at once, or a fault takes the only
-// balancers that believe that they watch. The operator changes the routes just
-// then. The others must have the change within the time that it may take, and
-// turn to the store one after the other.
-TEST(StoreWatchDuty, WithoutConfirmationEverybodyWatchesInTime)
+// All watchers are cut off from the store at once, or fail, and the operator
+// changes the routes at that moment. The other balancers must start to watch
+// within the propagation timeout, at different times.
+TEST(StoreWatchDuty, WithoutConfirmationAllWatchBeforeTheTimeout)
 {
   auto fleet = MakeFleet(91, 5);
-  std::set<std::int64_t> moments;
+  std::set<std::int64_t> delays;
   for (const Member& it : fleet) {
-    auto duty = DutyOf(it);
+    auto duty = MakeDuty(it);
     auto others = Without(fleet, it);
     Time confirmedAt = mStartedAt + 10s;
     duty.OnConfirmed(confirmedAt);
     Time now = confirmedAt;
-    while (now - confirmedAt <= kInForceWithin &&
-           !duty.WatchFor(others, true, false, now)) {
+    while (now - confirmedAt <= kPropagationTimeout &&
+           !duty.WatchDuration(others, true, false, now)) {
       now += 10ms;
     }
-    CHECK_TRUE(now - confirmedAt <= kInForceWithin - 500ms);
-    moments.insert((now - confirmedAt).count());
+    CHECK_TRUE(now - confirmedAt <= kPropagationTimeout - 500ms);
+    delays.insert((now - confirmedAt).count());
   }
-  CHECK_TRUE(moments.size() > 10);
+  CHECK_TRUE(delays.size() > 10);
 }
 
 TEST(StoreWatchDuty, AConfirmationEndsTheWatch)
@@ -115,36 +114,38 @@
   auto fleet = MakeFleet(91, 5);
   auto watchers = Watchers(fleet);
   for (const Member& it : fleet) {
-    bool isChosen = std::ranges::count(watchers, it.mHost, &Member::mHost) > 0;
-    auto duty = DutyOf(it);
+    bool isSelected =
+      std::ranges::count(watchers, it.mHost, &Member::mHost) > 0;
+    auto duty = MakeDuty(it);
     auto others = Without(fleet, it);
     Time now = mStartedAt + 10s;
-    CHECK_TRUE(duty.WatchFor(others, true, false, now).has_value());
+    CHECK_TRUE(duty.WatchDuration(others, true, false, now).has_value());
     duty.OnConfirmed(now - 100ms);
-    CHECK_EQUAL(isChosen, duty.WatchFor(others, true, false, now).has_value());
+    CHECK_EQUAL(isSelected,
+                duty.WatchDuration(others, true, false, now).has_value());
   }
 }
 
-// A balancer stood still: words that waited for it say how old they were when
-// they were sent, not how long they waited.
-TEST(StoreWatchDuty, AfterAStandstillItWatches)
+// A balancer was stalled. The notices queued meanwhile carry the confirmation's
+// age when they were sent, without the time in the queue.
+TEST(StoreWatchDuty, WatchesAfterAProcessStall)
 {
   auto fleet = MakeFleet(91, 5);
-  auto duty = DutyOf(fleet[0]);
+  auto duty = MakeDuty(fleet[0]);
   Time now = mStartedAt + 10s;
   duty.OnConfirmed(now);
-  duty.OnStandstill();
+  duty.OnProcessStall();
   CHECK_TRUE(
-    duty.WatchFor(Without(fleet, fleet[0]), true, false, now).has_value());
+    duty.WatchDuration(Without(fleet, fleet[0]), true, false, now).has_value());
 }
 
-// A balancer is restarted among others. Their packed document comes within
-// milliseconds, where the store's takes a thin link half a second.
-TEST(StoreWatchDuty, AtItsStartPeersAreAskedFirst)
+// A balancer restarts while others run. Their compressed document arrives
+// within milliseconds; the store's takes half a second on a slow link.
+TEST(StoreWatchDuty, AtTheStartPeersAreQueriedBeforeTheStore)
 {
-  auto duty = DutyOf(MakeFleet(1, 1)[0]);
-  Time later = mStartedAt + StoreWatchDuty::kPeersAnswerWithin;
-  CHECK_FALSE(duty.WatchFor({}, false, false, mStartedAt).has_value());
-  CHECK_FALSE(duty.WatchFor({}, false, true, later).has_value());
-  CHECK_TRUE(duty.WatchFor({}, false, false, later).has_value());
+  auto duty = MakeDuty(MakeFleet(1, 1)[0]);
+  Time later = mStartedAt + StoreWatchDuty::kPeerResponseTimeout;
+  CHECK_FALSE(duty.WatchDuration({}, false, false, mStartedAt).has_value());
+  CHECK_FALSE(duty.WatchDuration({}, false, true, later).has_value());
+  CHECK_TRUE(duty.WatchDuration({}, false, false, later).has_value());
 }
