--- a/src/passthrough/DrainWatch.cpp
+++ b/src/passthrough/DrainWatch.cpp
@@ -135,8 +135,7 @@
 }
 
 /** Failure met: an isolated peer or a delayed response reports a drain that was
- * cancelled since, or the state before a drain. The version check rejects it.
- */
+ * cancelled since, or the state before it. The version check rejects it. */
 void DrainWatch::Accept(const DataCentreDrains& aDrains,
                         std::string_view aSource)
 {
--- a/src/passthrough/DrainWatch.h
+++ b/src/passthrough/DrainWatch.h
@@ -50,20 +50,17 @@
   /** Starts or stops watching. */
   void SetWatching(bool aIsWatching);
 
-  /** Starts the next store call when it is due. Call it about ten times a
-   * second. */
+  /** Starts the next store call if due. Call it about ten times a second. */
   void OnTick();
 
-  /** Reads all names now and abandons the pending call: this process was
-   * stalled. */
+  /** Reads all names, abandoning the pending call: this process was stalled. */
   void ReadNow();
 
   /** Reads the drains at once if none are known yet: the store is available and
    * routes wait for the drains. */
   void ReadIfUnknown();
 
-  /** The response to another store call carried the store's version as of aAt.
-   */
+  /** Another store call's response carried the store's version as of aAt. */
   void OnStoreVersion(std::uint64_t aVersion, Time aAt);
 
   /** The drains known to a peer. */
@@ -72,8 +69,7 @@
     Accept(aDrains, "peer");
   }
 
-  /** Whether the set of drained data centres was received from the store or a
-   * peer. */
+  /** Whether any state of the drains was received, from the store or a peer. */
   bool IsKnown() const { return !IsEnabled() || mDrains.IsKnown(); }
   const DataCentreDrains& Drains() const { return mDrains; }
 
@@ -99,8 +95,7 @@
   const OnDrains mOnDrains;
   WatchSchedule mSchedule;
   DataCentreDrains mDrains;
-  /** The last confirmation outside the watch: by ReadNames() or
-   * OnStoreVersion(). */
+  /** Time of the last confirmation by ReadNames() or OnStoreVersion(). */
   Time mConfirmedAt{};
   Time mNamesReadAt{};
   bool mReadPending = false;
--- a/src/passthrough/FlowInventory.h
+++ b/src/passthrough/FlowInventory.h
@@ -21,8 +21,7 @@
   std::uint32_t mWeight = 1;
 };
 
-/** The services behind one address and port, and the properties of their flows.
- */
+/** The services behind one address and port, and their flows' properties. */
 struct FlowRoute
 {
   std::string mName;
@@ -32,8 +31,7 @@
   /** A response later than this is of little use to the caller. */
   Duration mLatencyTarget = std::chrono::milliseconds(100);
 
-  /** Selects the service of a new flow by weight, the same on every balancer.
-   */
+  /** Selects a new flow's service by weight, the same on every balancer. */
   ServiceId ServiceOf(std::uint64_t aFlowHash) const;
 };
 
--- a/src/passthrough/InventoryExchange.cpp
+++ b/src/passthrough/InventoryExchange.cpp
@@ -12,8 +12,7 @@
 
 namespace {
 
-/** The largest text of routes accepted from a peer; the store's values are
- * smaller. */
+/** Largest routes text accepted from a peer; the store's values are smaller. */
 constexpr std::size_t kMaxDocumentBytes = std::size_t{ 4 } * 1024 * 1024;
 
 } // namespace
@@ -52,8 +51,7 @@
   auto wait = mDuty.WatchDuration(aBalancers, HasRoutesAndDrains(),
                                   mPeers.IsDocumentPending(aNow), aNow);
   mWatch->SetWatchDuration(wait);
-  // While the store is unavailable, one kind of call suffices to detect its
-  // return.
+  // While the store is unavailable, one kind of call detects its return.
   mDrains->SetWatching(wait && !mWatch->IsStoreLost());
   if (wait.has_value() != mIsWatching) {
     mIsWatching = wait.has_value();
--- a/src/passthrough/InventoryExchange.h
+++ b/src/passthrough/InventoryExchange.h
@@ -56,8 +56,7 @@
   /** This process was stalled. */
   void OnStandstill() { mDuty.OnProcessStall(); }
 
-  /** Reads routes and drains from the store at once: the local copies may be
-   * old. */
+  /** Reads routes and drains from the store: the local copies may be old. */
   void ReadNow();
 
   /** The routes' version; 0 before any were received. */
@@ -78,8 +77,7 @@
   {
     return Version() != 0 && mDrains->IsKnown();
   }
-  /** When the store last confirmed the routes and drains in force; zero if it
-   * never did. */
+  /** When the store last confirmed routes and drains; zero if it never did. */
   Time ConfirmedAt() const;
   void NotifyPeers();
   void UpdateWatch(std::span<const Member> aBalancers, Time aNow);
--- a/src/passthrough/InventoryMessages.h
+++ b/src/passthrough/InventoryMessages.h
@@ -10,8 +10,7 @@
 
 namespace heatherplank {
 
-/** Notifies a balancer of the version of the routes that the sender has in
- * force. */
+/** Notifies a balancer of the version of the routes in force at the sender. */
 struct InventoryNotice
 {
   /** 0: none yet. */
@@ -24,8 +23,7 @@
    * receiver is to request the document from another balancer. */
   bool mIsBusy = false;
   /** Time since the store last confirmed, to any balancer, that no routes above
-   * mVersion and no drains other than mDrains are in force; none if unknown to
-   * the sender. */
+   * mVersion and no drains other than mDrains are in force; none if unknown. */
   std::optional<Duration> mConfirmedAgo;
   /** The drained data centres known to the sender. */
   DataCentreDrains mDrains;
--- a/src/passthrough/InventoryPeers.h
+++ b/src/passthrough/InventoryPeers.h
@@ -35,17 +35,15 @@
 class InventoryPeers
 {
 public:
-  /** Peers notified per round. Eight reach a thousand balancers in four rounds.
-   */
+  /** Peers notified per round; eight reach 1,000 balancers in four rounds. */
   static constexpr std::size_t kFanOut = 8;
   static constexpr Duration kNoticeInterval = std::chrono::milliseconds(500);
   /** Time after which another peer is asked for the document. A compressed one
    * takes about 100 ms on a slow link, and as long may be spent behind
    * documents queued before it. */
   static constexpr Duration kDocumentTimeout = std::chrono::milliseconds(800);
-  /** Upper limit of the timeout. Each document that did not arrive doubles it:
-   * the link may be slower than configured, and repeated copies would fill it.
-   */
+  /** Upper limit. Each document that did not arrive doubles the timeout: the
+   * link may be slower than configured, and repeated copies would fill it. */
   static constexpr Duration kMaxDocumentTimeout =
     std::chrono::milliseconds(3200);
   /** The share of a balancer's link for documents to its peers. */
@@ -77,8 +75,7 @@
 
   explicit InventoryPeers(const Options& aOptions);
 
-  /** The notices to send now. aPeers: control addresses of other balancers,
-   * including seeds. */
+  /** The notices due now. aPeers: control addresses of balancers and seeds. */
   std::vector<OutgoingNotice> OnTick(std::span<const Address> aPeers,
                                      const LocalState& aState, Time aNow);
 
--- a/src/passthrough/InventoryWatch.h
+++ b/src/passthrough/InventoryWatch.h
@@ -14,10 +14,9 @@
 
 namespace heatherplank {
 
-/** Keeps a balancer's routes at the newest version received from the store (by
- * WatchSchedule) or from peers. The version never decreases within a process.
- * Thread safe.
- */
+/** Keeps a balancer's routes at the newest version from the store (by
+ * WatchSchedule) or peers; the version never decreases within a process.
+ * Thread safe. */
 class InventoryWatch : public std::enable_shared_from_this<InventoryWatch>
 {
 public:
@@ -44,8 +43,7 @@
    * timeout; shorter watches cost more store calls. */
   void SetWatchDuration(std::optional<Duration> aWait);
 
-  /** Starts the next store call when it is due. Call it about ten times a
-   * second. */
+  /** Starts the next store call if due. Call it about ten times a second. */
   void OnTick();
 
   /** Reads the object now and abandons the pending call: this process was
--- a/src/passthrough/PassthroughProcess.h
+++ b/src/passthrough/PassthroughProcess.h
@@ -22,9 +22,8 @@
 namespace heatherplank {
 
 /** The parts common to balancers and agents of opaque flows: connections to
- * other processes, callers and the store, and the admin and metrics servers.
- * Runs on one thread.
- */
+ * processes, callers and the store, and the admin and metrics servers. Runs on
+ * one thread. */
 class PassthroughProcess
 {
 public:
@@ -40,9 +39,7 @@
     const PlatformAdapter& mAdapter;
     HostId mSelf;
     std::uint64_t mSeed = 0;
-    /** The address that a balancer writes into the directory; none for an
-     * agent.
-     */
+    /** A balancer's address for the directory; none for an agent. */
     std::optional<Address> mRegisteredAddress;
     Readiness mReady;
     OnFrame mOnFrame;
@@ -88,9 +85,8 @@
   /** The seeds of the settings in force. */
   const std::vector<Address>& Seeds() const { return mSeeds; }
 
-  /** Applies the seeds of reloaded settings; all other settings are bound to
-   * open ports and take effect at a restart. Invalid settings change nothing.
-   */
+  /** Applies the seeds of reloaded settings; all others are bound to open ports
+   * and take effect at a restart. Invalid settings change nothing. */
   template<typename Settings>
   void OnReread(const Result<Settings>& aSettings)
   {
--- a/src/passthrough/PassthroughSettings.cpp
+++ b/src/passthrough/PassthroughSettings.cpp
@@ -12,7 +12,7 @@
 constexpr std::int64_t kMaxFlows = 50000000;
 constexpr std::int64_t kSecondsPerDay = 86400;
 constexpr std::int64_t kMsPerHour = 3600000;
-/** Watches last a share of this time; below it they would cause too many store
+/** Watches last a share of this time: below it they would cost too many store
  * calls. */
 constexpr std::int64_t kMinInForceMs = 500;
 constexpr double kMinLinkMbps = 0.01;
--- a/src/passthrough/PassthroughSettings.h
+++ b/src/passthrough/PassthroughSettings.h
@@ -15,8 +15,7 @@
 /** Settings common to the balancers and agents of the pass-through path. */
 struct PassthroughSettings : ProcessSettings
 {
-  /** Control addresses of the balancers contacted first; others are discovered
-   * through them. */
+  /** Control addresses of balancers to contact first; more are discovered. */
   std::vector<Address> mSeeds;
   /** Replaces the port of every seed; 0: each seed's listed port is used. */
   std::uint16_t mSeedPort = 0;
@@ -33,8 +32,7 @@
   std::uint32_t mFlowsLastS = 60;
   /** Experiments only: the admin port accepts /fault/cut and /fault/heal. */
   bool mFaultInjection = false;
-  /** Experiments only: added to the time of day to simulate a wrong clock, ms.
-   */
+  /** Experiments only: added to the time of day, as by a wrong clock, ms. */
   std::int64_t mClockOffsetMs = 0;
 };
 
--- a/src/passthrough/PlatformAdapter.h
+++ b/src/passthrough/PlatformAdapter.h
@@ -24,8 +24,7 @@
   virtual const PacketFormat& Packets() const = 0;
   virtual const FlowInventoryReader& Inventories() const = 0;
 
-  /** Parses a host's call to its agent; Malformed with the remedy if the
-   * request is invalid. */
+  /** Parses a host's call to its agent; Malformed with remedy if invalid. */
   virtual Result<HostAnnouncement> ReadHostCall(
     const HttpRequest& aRequest) const = 0;
 
--- a/src/passthrough/StoreWatchDuty.cpp
+++ b/src/passthrough/StoreWatchDuty.cpp
@@ -9,8 +9,7 @@
 
 namespace {
 
-/** Any fixed value, the same on all balancers: they select the same watchers.
- */
+/** Any fixed value: all balancers select the same watchers by it. */
 constexpr std::uint64_t kRankSeed = 0x726f75746573;
 
 /** The longest watch, as a share of the propagation timeout. */
@@ -96,10 +95,9 @@
   return age >= kPeerDiscoveryTimeout && IsSelected(aOthers);
 }
 
-/** Whether this balancer is one of the watchers. They are taken from the
- * balancers with the highest score of each data centre, in the order of their
- * scores, and then, if there are fewer data centres than watchers, from the
- * others. */
+/** Whether this balancer is one of the watchers: the balancers with the highest
+ * score of each data centre, in the order of their scores, then the others, if
+ * there are fewer data centres than watchers. */
 bool StoreWatchDuty::IsSelected(std::span<const Member> aOthers) const
 {
   if (aOthers.size() < kSmallFleetSize) {
--- a/src/passthrough/StoreWatchDuty.h
+++ b/src/passthrough/StoreWatchDuty.h
@@ -21,9 +21,8 @@
  * Failure met: the watchers are cut off from the store, dead or stopped, and
  * the others keep old routes without knowing. Notices therefore carry the time
  * of the store's last confirmation besides the version, and a balancer without
- * a confirmation for mConfirmationLifetime watches until one arrives. If
- * balancers have different membership views, the only effect is one watcher
- * more or less.
+ * a confirmation for mConfirmationLifetime watches until one arrives. Different
+ * membership views only cause a watcher more or less.
  *
  * No I/O or clock access; not thread safe.
  */
@@ -33,14 +32,12 @@
   /** Tolerates two failures: one watcher is cut off along with its data centre,
    * and a second one fails independently. */
   static constexpr std::size_t kWatcherCount = 3;
-  /** In a fleet of up to this size every balancer watches. This takes fewer
-   * calls than kWatcherCount watchers, whose watches must be short to confirm
-   * often. */
+  /** In a fleet of up to this size all balancers watch, with fewer calls than
+   * kWatcherCount watchers, whose watches must be short to confirm often. */
   static constexpr std::size_t kSmallFleetSize = 8;
   static constexpr Duration kSmallFleetWatchDuration =
     std::chrono::milliseconds(5000);
-  /** Time after the start in which a balancer may not have discovered the
-   * others yet. */
+  /** How long after its start a balancer may not know the others yet. */
   static constexpr Duration kPeerDiscoveryTimeout =
     std::chrono::milliseconds(1000);
   /** Running peers respond to a notice within this time; after it a balancer
--- a/src/passthrough/WatchSchedule.cpp
+++ b/src/passthrough/WatchSchedule.cpp
@@ -61,8 +61,7 @@
   } else {
     mNextAt = aNow + mOptions.mFirstPause + mBackoff.Next();
   }
-  // The store reports a change when it happens, however long ago the watch
-  // began.
+  // The store reports a change when it happens, whenever the watch began.
   bool isWatchedChange = aIsChange && mVersion != 0;
   mConfirmedAt =
     isWatchedChange ? aNow : std::min(aNow, mCalledAt + mCall.mWait);
--- a/src/passthrough/WatchSchedule.h
+++ b/src/passthrough/WatchSchedule.h
@@ -47,9 +47,7 @@
     /** It belongs to an abandoned call and is ignored. */
     Stale,
     Accepted,
-    /** Accepted; it shows that the store became unavailable, or available
-     * again.
-     */
+    /** Accepted; the store is found unavailable, or available again. */
     StoreLost,
     StoreRegained,
   };
@@ -66,7 +64,7 @@
   /** The call that is due, if any; at most one call is pending at a time. */
   std::optional<Call> Next(Time aNow);
 
-  /** Makes a read of all data due now, also while watching is off; abandons the
+  /** Makes a read of all data due, also while watching is off, and abandons the
    * pending call. */
   void ReadNow(Time aNow);
 
--- a/tests/DrainWatchTest.cpp
+++ b/tests/DrainWatchTest.cpp
@@ -12,8 +12,7 @@
 
 namespace {
 
-/** A store whose watches of names stay pending until the test completes them.
- */
+/** A store whose watches of names the test completes. */
 class ManualNameStore final : public FakeObjectStore
 {
 public:
@@ -83,8 +82,7 @@
   CHECK_EQUAL(3, mReported.size());
 }
 
-// Other objects of the store change: the version increases, and no callback
-// runs.
+// Other objects of the store change: the version increases without a callback.
 TEST(DrainWatch, AWatchWithoutChangeOnlyAdvancesTheVersion)
 {
   mStore.Answer(100, std::vector<std::string>{ "a" });
@@ -96,8 +94,7 @@
   CHECK_EQUAL(1, mReported.size());
 }
 
-// Guards against a drain that is undone by an outdated notice of an isolated
-// balancer.
+// Guards against a drain that is undone by an isolated balancer's old notice.
 TEST(DrainWatch, AnOlderVersionFromAPeerIsIgnored)
 {
   mStore.Answer(100, std::vector<std::string>{ "a" });
@@ -121,8 +118,8 @@
   CHECK_TRUE(IsDrained("a"));
 }
 
-// Guards against a watch that is resumed after a failure and misses the changes
-// in between.
+// Guards against a watch resumed after a failure, which misses the changes
+// since.
 TEST(DrainWatch, AllNamesAreReadAfterAFailure)
 {
   mStore.Answer(100, std::vector<std::string>{});
--- a/tests/InventoryPeersTest.cpp
+++ b/tests/InventoryPeersTest.cpp
@@ -114,9 +114,8 @@
   CHECK_EQUAL(1, Receive(NoticeOf(1, 9)).size());
 }
 
-// All balancers restart after a power loss, and request the document from the
-// first one that has routes at once. Its callers' packets need most of its
-// link.
+// After a power loss all balancers request the document at once from the first
+// one that has routes. Its callers' packets need most of its link.
 TEST(InventoryPeers, DocumentsUseNoMoreThanTheirShareOfTheLink)
 {
   constexpr std::size_t kDocument = 100;
--- a/tests/InventoryWatchTest.cpp
+++ b/tests/InventoryWatchTest.cpp
@@ -189,8 +189,7 @@
   mStore.TakeCall().mOnWatch(std::optional<Object>(MakeObject("x", 105)));
   CHECK_EQUAL(7, mWatch->Version());
   CHECK_EQUAL(1, mVersionsInForce.size());
-  // The next watch starts after the invalid version and doesn't return it
-  // again.
+  // The next watch starts after the invalid version, so it isn't read again.
   CHECK_EQUAL(105, mStore.mPending[0].mAfter);
 }
 
--- a/tests/PassthroughExplorationTest.cpp
+++ b/tests/PassthroughExplorationTest.cpp
@@ -79,8 +79,8 @@
 }
 
 // Seeds that found a fault during development: a refusal of one copy of an
-// opening packet cut the flow that another copy had opened. With the last two
-// seeds the refusing agent was stalled until the caller's next copies were
+// opening packet cut the flow that another copy had opened. In the last
+// two the refusing agent was stalled until the caller's next copies were
 // placed.
 TEST(PassthroughExploration, SeedsOfFormerFailuresPass)
 {
@@ -116,8 +116,7 @@
 
 // The operator drains a data centre while balancers and agents restart, hosts
 // crash and drain, and packets are delayed. The balancers alone prevent new
-// flows there; if one of them is never notified of the drain, the agents
-// prevent them.
+// flows there, or the agents, if one balancer is not notified of the drain.
 TEST(PassthroughExploration, NoFlowOpensInADrainedDataCentre)
 {
   PassthroughWorld::Options options;
--- a/tests/PassthroughSettingsTest.cpp
+++ b/tests/PassthroughSettingsTest.cpp
@@ -28,8 +28,7 @@
   CHECK_TRUE(read.has_value());
   STRCMP_EQUAL("10.0.0.1:4444", read->mIngress.ToString().c_str());
   CHECK_EQUAL(4444, read->mCallerPort);
-  // A seed that equals the control address is removed; the others get the
-  // seeds' port.
+  // The balancer's control address is no seed; the others get the seeds' port.
   CHECK_EQUAL(1, read->mSeeds.size());
   STRCMP_EQUAL("10.0.0.2:7000", read->mSeeds[0].ToString().c_str());
 }
--- a/tests/PassthroughWorld.h
+++ b/tests/PassthroughWorld.h
@@ -40,8 +40,7 @@
     /** The operator drains a data centre. No process is stalled then, since a
      * stall would hide for how long a drain may be unknown. */
     bool mDrainDataCentre = false;
-    /** One balancer is never notified of the drain; no agent loses its record
-     * of the drain. */
+    /** One balancer is never notified of the drain, and no agent loses it. */
     bool mOneBalancerMissesDrain = false;
     /** Balancers notify agents of the drain. */
     bool mNotifyAgents = true;
--- a/tests/PassthroughWorldParts.h
+++ b/tests/PassthroughWorldParts.h
@@ -144,8 +144,7 @@
                                          mWorld->mClock.Now());
   }
 
-  /** Runs aAction now, or when the agent resumes, or never if the agent is
-   * killed before. */
+  /** Runs aAction now, when the agent resumes, or never if killed before. */
   void RunOrDefer(std::function<void()> aAction)
   {
     if (mStalled) {
@@ -194,8 +193,7 @@
   }
 };
 
-/** A caller of one flow: opens it, and sends one request until it is answered.
- */
+/** A caller of one flow: opens it, sends one request until it is answered. */
 struct PassthroughWorld::Caller
 {
   FlowKey mFlow;
--- a/tests/RoutesFleet.h
+++ b/tests/RoutesFleet.h
@@ -15,10 +15,8 @@
 
 namespace heatherplank {
 
-/** Simulates a fleet of balancers with InventoryExchange, links of limited
- * bandwidth in each direction, and the store. No network; Run advances the
- * time.
- */
+/** Simulates balancers with InventoryExchange, links of limited bandwidth in
+ * each direction, and the store. No network; Run advances the time. */
 class RoutesFleet
 {
 public:
@@ -112,16 +110,15 @@
   }
 
   /** The number of balancers that know exactly aDataCentres drained data
-   * centres.
-   */
+   * centres. */
   std::size_t CountDraining(std::size_t aDataCentres) const
   {
     return static_cast<std::size_t>(std::ranges::count_if(
       mNodes, [&](const auto& aIt) { return aIt->mDrained == aDataCentres; }));
   }
 
-  /** Runs until all balancers know aDataCentres drained data centres; returns
-   * the time that it took, aTimeout if they don't by then. */
+  /** Runs until all balancers know exactly aDataCentres drained data centres;
+   * returns the time taken, at most aTimeout. */
   Duration TimeUntilAllDrain(std::size_t aDataCentres, Duration aTimeout)
   {
     Time began = mClock.Now();
@@ -163,8 +160,8 @@
     }
   }
 
-  /** Runs until all balancers have a version; returns the time that it took,
-   * aTimeout if some don't by then. */
+  /** Runs until all balancers have a version; returns the time taken, at most
+   * aTimeout. */
   Duration TimeUntilAllHave(std::uint64_t aVersion, Duration aTimeout)
   {
     Time began = mClock.Now();
@@ -181,17 +178,13 @@
       mNodes, [&](const auto& aIt) { return aIt->mVersion == aVersion; }));
   }
 
-  /** Documents that a balancer received since its start, from peers and the
-   * store.
-   */
+  /** Documents received since the start, from peers and the store. */
   std::size_t DocumentsAt(std::size_t aNode) const
   {
     return mNodes[aNode]->mDocumentsReceived;
   }
 
-  /** How long a packet sent by a caller now would be queued for a balancer's
-   * link.
-   */
+  /** How long a caller's packet sent now is queued for a balancer's link. */
   Duration BacklogAt(std::size_t aNode) const
   {
     return std::max(mNodes[aNode]->mInLinkFreeAt - mClock.Now(),
@@ -312,8 +305,8 @@
     mEvents.emplace(aWhen, std::move(aEvent));
   }
 
-  /** Reserves a balancer's receiving link; returns when the last byte arrives.
-   */
+  /** Reserves a balancer's receiving link; returns when the last byte
+   * arrives. */
   Time ReserveReceiveLink(Node& aNode, std::size_t aBytes, Time aFrom)
   {
     aNode.mInLinkFreeAt =
--- a/tests/RoutesFleetTest.cpp
+++ b/tests/RoutesFleetTest.cpp
@@ -85,8 +85,7 @@
   CHECK_TRUE(fleet.TimeUntilAllHave(23, 5s) <= 3s);
 }
 
-// Guards against balancers that still place flows in a drained data centre when
-// it loses power.
+// Guards against flows placed in a drained data centre that then loses power.
 TEST(RoutesFleet, ADrainReachesALargeFleetWithinASecond)
 {
   RoutesFleet fleet({ .mBalancers = 91, .mLinkMbps = 20 });
