--- a/src/membership/AgentMembership.cpp
+++ b/src/membership/AgentMembership.cpp
@@ -7,8 +7,8 @@
 
 namespace {
 
-/** Each so many heartbeats one more goes to a balancer picked at random. */
-constexpr std::uint32_t kBeatsPerProbe = 2;
+/** One heartbeat in this many is also sent to a randomly chosen balancer. */
+constexpr std::uint32_t kHeartbeatsPerProbe = 2;
 
 } // namespace
 
@@ -29,8 +29,8 @@
 MemberTableOptions AgentMembership::TableOptions()
 {
   MemberTableOptions options;
-  options.mJudgesSilence = false;
-  // The monitors have weighed a death before they tell of it.
+  options.mDetectsFailures = false;
+  // The monitors apply the cap before they report a death.
   options.mCapDeaths = false;
   return options;
 }
@@ -47,7 +47,7 @@
   }
   mSelf.mState = aState;
   mServingSince = aNow;
-  Beat(aNow);
+  SendHeartbeats(aNow);
 }
 
 void AgentMembership::SetSlots(std::uint16_t aSlots, Time aNow)
@@ -57,7 +57,7 @@
   }
   mSelf.mSlots = aSlots;
   ++mRevision;
-  Beat(aNow);
+  SendHeartbeats(aNow);
 }
 
 void AgentMembership::Restart(Incarnation aIncarnation, Time aNow)
@@ -65,94 +65,95 @@
   mSelf.mIncarnation = aIncarnation;
   mSelf.mState = HostState::Cold;
   mServingSince = aNow;
-  mBeat = 0;
-  Beat(aNow);
+  mHeartbeatNumber = 0;
+  SendHeartbeats(aNow);
 }
 
 void AgentMembership::OnTick(Time aNow)
 {
   mPeers.OnTick(aNow);
   mBalancers.OnTick(aNow);
-  Duration every =
-    IsSeeking(aNow) ? mOptions.mSeekEvery : mOptions.mHeartbeatEvery;
-  if (aNow - mBeatAt >= every) {
-    Beat(aNow);
+  Duration interval = IsDiscovering(aNow) ? mOptions.mDiscoveryInterval
+                                          : mOptions.mHeartbeatEvery;
+  if (aNow - mHeartbeatAt >= interval) {
+    SendHeartbeats(aNow);
   }
 }
 
-bool AgentMembership::IsSeeking(Time aNow) const
+bool AgentMembership::IsDiscovering(Time aNow) const
 {
-  return mConfirmedAt == Time{} && aNow - mServingSince < mOptions.mSeekFor;
+  return mConfirmedAt == Time{} &&
+         aNow - mServingSince < mOptions.mDiscoveryTimeout;
 }
 
 void AgentMembership::SetSeeds(std::vector<Address> aSeeds, Time aNow)
 {
   mSeeds = std::move(aSeeds);
-  // Before the first heartbeat the host is not announced yet.
-  if (mBeat > 0) {
-    Greet(aNow);
+  // The first heartbeat announces the host, and goes to all monitors.
+  if (mHeartbeatNumber > 0) {
+    AnnounceToNewMonitors(aNow);
   }
 }
 
-/** Failure met: a balancer starts, learns of the hosts only by their next
- * heartbeats, up to 0.5 s later, and refuses callers meanwhile. An agent beats
- * to a monitor as soon as it hears of it. */
-void AgentMembership::Greet(Time aNow)
+/** Failure met: a balancer that starts learns of the hosts only from their next
+ * heartbeats, up to 0.5 s later, and refuses callers meanwhile. An agent
+ * therefore sends a heartbeat to a new monitor as soon as it learns of it. */
+void AgentMembership::AnnounceToNewMonitors(Time aNow)
 {
   std::vector<Address> monitors = Monitors();
-  std::vector<Address> fresh;
+  std::vector<Address> added;
   for (const Address& it : monitors) {
-    if (std::ranges::count(mBeatenTo, it) == 0) {
-      fresh.push_back(it);
+    if (std::ranges::count(mLastMonitors, it) == 0) {
+      added.push_back(it);
     }
   }
-  mBeatenTo = std::move(monitors);
-  if (fresh.empty()) {
+  mLastMonitors = std::move(monitors);
+  if (added.empty()) {
     return;
   }
-  Heartbeat beat = MakeBeat(aNow);
-  for (const Address& it : fresh) {
-    mActions.push_back({ it, beat });
+  Heartbeat heartbeat = MakeHeartbeat(aNow);
+  for (const Address& it : added) {
+    mActions.push_back({ it, heartbeat });
   }
 }
 
-void AgentMembership::Beat(Time aNow)
+void AgentMembership::SendHeartbeats(Time aNow)
 {
-  mBeatAt = aNow;
-  Heartbeat beat = MakeBeat(aNow);
-  std::vector<Address> to = Monitors();
-  mBeatenTo = to;
-  bool probes = mBeat % kBeatsPerProbe == 0 &&
-                !mOptions.mMonitors.AreAll(Balancers()->mMembers.size());
-  if (probes && !to.empty()) {
-    to.push_back(AnyBalancer());
+  mHeartbeatAt = aNow;
+  Heartbeat heartbeat = MakeHeartbeat(aNow);
+  std::vector<Address> receivers = Monitors();
+  mLastMonitors = receivers;
+  bool probes = mHeartbeatNumber % kHeartbeatsPerProbe == 0 &&
+                !mOptions.mMonitors.IncludesAll(Balancers()->mMembers.size());
+  if (probes && !receivers.empty()) {
+    receivers.push_back(RandomBalancer());
   }
-  for (const Address& it : to) {
-    mActions.push_back({ it, beat });
+  for (const Address& it : receivers) {
+    mActions.push_back({ it, heartbeat });
   }
 }
 
-Heartbeat AgentMembership::MakeBeat(Time aNow)
+Heartbeat AgentMembership::MakeHeartbeat(Time aNow)
 {
-  mSentAt[(mBeat + 1) % kBeatsRemembered] = aNow;
-  Heartbeat beat;
-  beat.mRecord.mMember = mSelf;
-  beat.mRecord.mRevision = mRevision;
-  beat.mRecord.mBeat = ++mBeat;
-  beat.mRecord.mAge = aNow - mServingSince;
-  beat.mVersion = mPeers.Version();
-  mPeers.OnHeartbeat(beat, aNow);
-  beat.mServiceDigest =
+  mHeartbeatSentAt[(mHeartbeatNumber + 1) % kMaxTrackedHeartbeats] = aNow;
+  Heartbeat heartbeat;
+  heartbeat.mRecord.mMember = mSelf;
+  heartbeat.mRecord.mRevision = mRevision;
+  heartbeat.mRecord.mBeat = ++mHeartbeatNumber;
+  heartbeat.mRecord.mAge = aNow - mServingSince;
+  heartbeat.mVersion = mPeers.Version();
+  mPeers.OnHeartbeat(heartbeat, aNow);
+  heartbeat.mServiceDigest =
     mOptions.mWantsPeers ? mPeers.ServiceDigest(mSelf.mService) : kWantsNoPeers;
-  beat.mBalancerDigest = mBalancers.ServiceDigest(BalancerService());
-  return beat;
+  heartbeat.mBalancerDigest = mBalancers.ServiceDigest(BalancerService());
+  return heartbeat;
 }
 
-/** Failure met: all monitors of a host die at once, nobody is left to tell its
- * agent of new ones, and the host is held dead. It beats to a balancer picked
- * at random now and then, which sees by the hashes that the agent's list is
- * old and sends the new one. */
-Address AgentMembership::AnyBalancer()
+/** Failure met: all monitors of a host die at once, no balancer notifies its
+ * agent of the new monitors, and the host is declared dead. Some heartbeats
+ * therefore also go to a randomly chosen balancer, which detects by the digests
+ * that the agent's list is outdated and sends the current one. */
+Address AgentMembership::RandomBalancer()
 {
   MemberViewPtr view = Balancers();
   std::size_t known = view->mMembers.size();
@@ -167,20 +168,21 @@
     return mSeeds;
   }
   std::size_t known = view->mMembers.size();
-  // Where all balancers are monitors, those of the settings are too: until the
-  // others are known, each would hold this host for silent.
-  std::vector<Address> out;
-  if (mOptions.mMonitors.AreAll(known)) {
-    out = mSeeds;
+  // Where all balancers are monitors, the seeds are monitors too: each would
+  // suspect this host until it is in the agent's list of balancers.
+  std::vector<Address> monitors;
+  if (mOptions.mMonitors.IncludesAll(known)) {
+    monitors = mSeeds;
   }
   for (const Member& it :
        ChooseMonitors(mSelf.mHost, mSelf.mDataCentre, view->mMembers,
                       mOptions.mMonitors.CountOf(known))) {
-    if (std::find(out.begin(), out.end(), it.mControl) == out.end()) {
-      out.push_back(it.mControl);
+    if (std::find(monitors.begin(), monitors.end(), it.mControl) ==
+        monitors.end()) {
+      monitors.push_back(it.mControl);
     }
   }
-  return out;
+  return monitors;
 }
 
 void AgentMembership::OnMessage(const MembershipMessage& aMessage, Time aNow)
@@ -189,43 +191,46 @@
   if (delta == nullptr) {
     return;
   }
-  std::uint32_t age = mBeat - delta->mAnswersBeat;
-  if (delta->mAnswersBeat != 0 && age < kBeatsRemembered) {
+  std::uint32_t age = mHeartbeatNumber - delta->mAnswersBeat;
+  if (delta->mAnswersBeat != 0 && age < kMaxTrackedHeartbeats) {
     mConfirmedAt =
-      std::max(mConfirmedAt, mSentAt[delta->mAnswersBeat % kBeatsRemembered]);
+      std::max(mConfirmedAt,
+               mHeartbeatSentAt[delta->mAnswersBeat % kMaxTrackedHeartbeats]);
   }
-  bool hosts = delta->mTable == MemberTableId::Hosts;
-  MemberTable& table = hosts ? mPeers : mBalancers;
-  ServiceId service = hosts ? mSelf.mService : BalancerService();
+  bool isHosts = delta->mTable == MemberTableId::Hosts;
+  MemberTable& table = isHosts ? mPeers : mBalancers;
+  ServiceId service = isHosts ? mSelf.mService : BalancerService();
   if (delta->mIsComplete) {
     table.OnServiceDelta(service, *delta, mOptions.mDropUnlistedAfter, aNow);
   } else {
     table.OnDelta(*delta, aNow);
   }
-  if (hosts) {
-    YieldToNewer(*delta, aNow);
+  if (isHosts) {
+    SupersedeNewerIncarnation(*delta, aNow);
   } else {
-    Greet(aNow);
+    AnnounceToNewMonitors(aNow);
   }
-  // See BalancerMembership::AskSuspected.
+  // See BalancerMembership::RequestHeartbeatsFromSuspects.
   if (delta->mAsks && !delta->mRecords.empty()) {
     mActions.push_back(
-      { delta->mRecords.front().mMember.mControl, MakeBeat(aNow) });
+      { delta->mRecords.front().mMember.mControl, MakeHeartbeat(aNow) });
   }
 }
 
-/** Failure met: the host's clock stepped back over a restart, so that its new
- * incarnation is lower than the old one and every heartbeat counts as stale.
- * Shown by heartbeat_stale, and a host that never comes back. The agent sees
- * its own record with a higher incarnation and takes the next above it. */
-void AgentMembership::YieldToNewer(const MemberDelta& aDelta, Time aNow)
+/** Failure met: the host's clock steps back across a restart, so the new
+ * incarnation is lower than the previous one, every heartbeat counts as stale
+ * and the host never returns. Visible in the counter heartbeat_stale. The agent
+ * is sent its own record with the higher incarnation, and adopts the next
+ * incarnation above it. */
+void AgentMembership::SupersedeNewerIncarnation(const MemberDelta& aDelta,
+                                                Time aNow)
 {
   for (const MemberRecord& it : aDelta.mRecords) {
     bool newer = it.mMember.mHost == mSelf.mHost &&
                  it.mMember.mIncarnation > mSelf.mIncarnation;
     if (newer) {
       mSelf.mIncarnation = it.mMember.mIncarnation + 1;
-      Beat(aNow);
+      SendHeartbeats(aNow);
     }
   }
 }
--- a/src/membership/AgentMembership.h
+++ b/src/membership/AgentMembership.h
@@ -15,50 +15,51 @@
 
 struct AgentMembershipOptions
 {
-  /** Control addresses of balancers to begin with, from the settings. */
+  /** Control addresses of the first balancers to contact, from the settings. */
   std::vector<Address> mSeeds;
   Duration mHeartbeatEvery = std::chrono::milliseconds(500);
-  /** How often it beats until a balancer answers, mSeekFor at most.
+  /** Heartbeat interval until a balancer answers or mDiscoveryTimeout passes.
    *
-   * Protects the first second after many machines come back at once: an agent
-   * that starts before the balancers of its settings beat into the void, and
-   * its host got no flow until the next ordinary heartbeat, 0.5 s later, and
-   * 170 of the 897 callers of the next two seconds got no answer. A heartbeat
-   * is 200 bytes, so seeking costs an agent 4 KB/s for each seed. */
-  Duration mSeekEvery = std::chrono::milliseconds(50);
-  /** Seeds that stay silent for longer are not about to start. */
-  Duration mSeekFor = std::chrono::seconds(5);
-  /** Balancers that are sent heartbeats. */
+   * Guards against: many machines restart at once, and an agent starts before
+   * its seeds. At the ordinary interval its host then gets no flow for up to
+   * 0.5 s after they start; 170 of the 897 callers of the next two seconds got
+   * no answer. A heartbeat is 200 bytes: 4 KB/s per seed while discovering. */
+  Duration mDiscoveryInterval = std::chrono::milliseconds(50);
+  /** A seed that has not answered by then is not expected to start soon. */
+  Duration mDiscoveryTimeout = std::chrono::seconds(5);
+  /** Chooses the balancers that are sent heartbeats. */
   MonitorRule mMonitors;
-  /** Off where nobody reads Peers: balancers then send no members of the
-   * service, which each change of one would cost in each agent. */
+  /** False if Peers is not used: balancers then send no members of the service,
+   * and agents are spared the processing of each change. */
   bool mWantsPeers = true;
-  /** A member that a complete list lacks is dropped after this silence. */
+  /** A member missing from a complete list is dropped if its last heartbeat is
+   * at least this old. */
   Duration mDropUnlistedAfter = std::chrono::seconds(30);
 };
 
 /** Membership in an agent: announces its host, and holds the members of its
- * service and the balancers as its monitors tell them. Pure; not thread safe.
+ * service and the balancers as reported by its monitors. No I/O or clock
+ * access; not thread safe.
  */
 class AgentMembership
 {
 public:
-  /** aCheck must outlive it. */
+  /** aCheck must outlive this object. */
   AgentMembership(const Member& aSelf, const InventoryCheck& aCheck,
                   const AgentMembershipOptions& aOptions, std::uint64_t aSeed,
                   Time aNow);
 
-  /** The host's state or slots changed: announced at once, since a host that
-   * drains must get no new work. A state never goes back: for that the agent
-   * starts a new incarnation (Restart). */
+  /** Sets the host's state or slots and announces the change at once, since a
+   * draining host must get no new work. A state never moves backwards within an
+   * incarnation; use Restart to begin a new one. */
   void SetState(HostState aState, Time aNow);
   void SetSlots(std::uint16_t aSlots, Time aNow);
-  /** Begins a new life of the host, Cold. Precondition: aIncarnation is above
-   * the present one. */
+  /** Begins a new incarnation of the host in state Cold. Precondition:
+   * aIncarnation is higher than the current one. */
   void Restart(Incarnation aIncarnation, Time aNow);
 
-  /** Other balancers to begin with: the settings changed, or the directory was
-   * read. Those that are new are sent a heartbeat at once. */
+  /** Replaces the seeds after the settings changed or the directory was read.
+   * New monitors are sent a heartbeat at once. */
   void SetSeeds(std::vector<Address> aSeeds, Time aNow);
 
   void OnMessage(const MembershipMessage& aMessage, Time aNow);
@@ -67,12 +68,13 @@
 
   std::vector<SendMembership> TakeActions();
 
-  /** When the latest heartbeat that a balancer answered was sent: until then
-   * this host was surely held alive. Zero before the first. */
+  /** When the latest heartbeat that a balancer answered was sent. That balancer
+   * considered this host alive at least until then. Zero before the first
+   * answer. */
   Time ConfirmedAt() const { return mConfirmedAt; }
 
   const Member& Self() const { return mSelf; }
-  /** Members of the host's own service, this host too. */
+  /** Members of the host's service, including this host. */
   MemberViewPtr Peers() const { return mPeers.View(mSelf.mService); }
   MemberViewPtr Balancers() const { return mBalancers.View(BalancerService()); }
 
@@ -87,16 +89,17 @@
   };
 
   static MemberTableOptions TableOptions();
-  void Beat(Time aNow);
-  void Greet(Time aNow);
-  bool IsSeeking(Time aNow) const;
-  Heartbeat MakeBeat(Time aNow);
+  void SendHeartbeats(Time aNow);
+  void AnnounceToNewMonitors(Time aNow);
+  bool IsDiscovering(Time aNow) const;
+  Heartbeat MakeHeartbeat(Time aNow);
   std::vector<Address> Monitors() const;
-  Address AnyBalancer();
-  void YieldToNewer(const MemberDelta& aDelta, Time aNow);
+  Address RandomBalancer();
+  void SupersedeNewerIncarnation(const MemberDelta& aDelta, Time aNow);
 
-  /** An answer to an older beat than this confirms nothing of use. */
-  static constexpr std::uint32_t kBeatsRemembered = 32;
+  /** Number of latest heartbeats whose send times are retained. Answers to
+   * older heartbeats are ignored. */
+  static constexpr std::uint32_t kMaxTrackedHeartbeats = 32;
 
   Member mSelf;
   const AgentMembershipOptions mOptions;
@@ -105,14 +108,14 @@
   MemberTable mPeers;
   MemberTable mBalancers;
   std::vector<SendMembership> mActions;
-  /** Where the last heartbeats went. */
-  std::vector<Address> mBeatenTo;
+  /** The monitors that were sent the last heartbeat. */
+  std::vector<Address> mLastMonitors;
   std::mt19937_64 mRandom;
   std::uint32_t mRevision = 0;
-  std::uint32_t mBeat = 0;
-  Time mBeatAt{};
+  std::uint32_t mHeartbeatNumber = 0;
+  Time mHeartbeatAt{};
   Time mServingSince{};
-  std::array<Time, kBeatsRemembered> mSentAt{};
+  std::array<Time, kMaxTrackedHeartbeats> mHeartbeatSentAt{};
   Time mConfirmedAt{};
 };
 
--- a/src/membership/BalancerBootstrap.cpp
+++ b/src/membership/BalancerBootstrap.cpp
@@ -1,4 +1,4 @@
-// Snapshots: how a new balancer comes to its view, and how others give it.
+// Snapshots: how a new balancer obtains its view, and how its peers serve it.
 #include "src/membership/BalancerMembership.h"
 #include "src/wire/MembershipCodec.h"
 
@@ -6,24 +6,24 @@
 
 namespace {
 
-/** Most snapshot requests that wait; more are dropped, and asked for again. */
-constexpr std::size_t kMaxToServe = 64;
+/** Further snapshot requests are dropped; their senders repeat them. */
+constexpr std::size_t kMaxSnapshotRequests = 64;
 
 } // namespace
 
 void BalancerMembership::On(const MemberSnapshotRequest& aRequest, Time)
 {
-  if (mToServe.size() < kMaxToServe) {
-    mToServe.push_back(aRequest);
+  if (mSnapshotRequests.size() < kMaxSnapshotRequests) {
+    mSnapshotRequests.push_back(aRequest);
   }
 }
 
 void BalancerMembership::On(const MemberSnapshot& aSnapshot, Time aNow)
 {
   TableOf(aSnapshot.mTable).OnSnapshot(aSnapshot, aNow);
-  bool expected = !mStarted && aSnapshot.mTable == MemberTableId::Hosts &&
-                  aSnapshot.mFirst <= mCursor && aSnapshot.mLast >= mCursor;
-  if (!expected) {
+  bool isExpected = !mStarted && aSnapshot.mTable == MemberTableId::Hosts &&
+                    aSnapshot.mFirst <= mCursor && aSnapshot.mLast >= mCursor;
+  if (!isExpected) {
     return;
   }
   if (aSnapshot.mLast.mValue == UINT64_MAX) {
@@ -32,35 +32,36 @@
   }
   mCursor = { aSnapshot.mLast.mValue + 1 };
   mSeedsTried = 0;
-  AskForSnapshot(aNow);
+  RequestSnapshot(aNow);
 }
 
-/** Answers within the budget. A balancer that is itself starting answers
- * nobody, or two new ones would take each other's gaps for whole views. */
+/** Answers requests within the byte budget. A balancer that is still starting
+ * answers none: two new balancers would take each other's partial views for
+ * complete ones. */
 void BalancerMembership::ServeSnapshots(Time aNow)
 {
-  while (!mToServe.empty() && mSnapshotBudget.Available(aNow) > 0) {
-    MemberSnapshotRequest request = mToServe.front();
-    mToServe.pop_front();
+  while (!mSnapshotRequests.empty() && mSnapshotBudget.Available(aNow) > 0) {
+    MemberSnapshotRequest request = mSnapshotRequests.front();
+    mSnapshotRequests.pop_front();
     const Member* peer = FindBalancer(request.mFrom);
     if (peer == nullptr || !mStarted) {
       continue;
     }
-    MemberSnapshot part =
+    MemberSnapshot chunk =
       TableOf(request.mTable).Snapshot(request, mOptions.mChunkRecords, aNow);
-    part.mFrom = mSelf.mHost;
-    mSnapshotBudget.Take(EncodePayload(part).size());
-    Send(peer->mControl, part);
+    chunk.mFrom = mSelf.mHost;
+    mSnapshotBudget.Take(EncodePayload(chunk).size());
+    Send(peer->mControl, chunk);
   }
 }
 
-void BalancerMembership::AskForSnapshot(Time aNow)
+void BalancerMembership::RequestSnapshot(Time aNow)
 {
-  mAskedAt = aNow;
+  mSnapshotRequestedAt = aNow;
   if (mSeeds.empty()) {
     return;
   }
-  const Address& seed = mSeeds[mSeed % mSeeds.size()];
+  const Address& seed = mSeeds[mSeedIndex % mSeeds.size()];
   MemberSnapshotRequest request;
   request.mFrom = mSelf.mHost;
   request.mMaxRecords = mOptions.mChunkRecords;
@@ -71,25 +72,26 @@
   Send(seed, request);
 }
 
-/** Failure met: a new balancer routes by a view of the few hosts that it has
- * heard so far, and flows are placed anew. It is ready once a peer has given
- * it all, going on with the next peer where one died half-way; or, where no
- * peer answers, once heartbeats bring no new member. */
+/** Failure met: a new balancer routes by a view of the few hosts whose
+ * heartbeats it has received so far, and existing flows are placed again. It is
+ * ready only once its peers have sent a complete snapshot, continuing with the
+ * next peer if one dies half-way; or, if no peer answers, once heartbeats add
+ * no new members. */
 void BalancerMembership::Bootstrap(Time aNow)
 {
-  if (mHosts.Size() != mKnown) {
-    mKnown = mHosts.Size();
-    mGrownAt = aNow;
+  if (mHosts.Size() != mHostCount) {
+    mHostCount = mHosts.Size();
+    mHostCountChangedAt = aNow;
   }
-  bool asked = mSeedsTried > 0;
-  if (!asked || aNow - mAskedAt >= mOptions.mChunkTimeout) {
+  bool requested = mSeedsTried > 0;
+  if (!requested || aNow - mSnapshotRequestedAt >= mOptions.mChunkTimeout) {
     ++mSeedsTried;
-    mSeed += asked ? 1 : 0;
-    AskForSnapshot(aNow);
+    mSeedIndex += requested ? 1 : 0;
+    RequestSnapshot(aNow);
   }
   bool noPeer = mSeedsTried > mSeeds.size();
-  bool settled = aNow - mGrownAt >= mOptions.mSettleFor;
-  mStarted = mStarted || (noPeer && settled && mKnown > 0);
+  bool settled = aNow - mHostCountChangedAt >= mOptions.mSettleDuration;
+  mStarted = mStarted || (noPeer && settled && mHostCount > 0);
 }
 
 } // namespace heatherplank
--- a/src/membership/BalancerMembership.cpp
+++ b/src/membership/BalancerMembership.cpp
@@ -9,8 +9,8 @@
 
 namespace {
 
-/** An agent is told of changes for this long after its last heartbeat. */
-constexpr Duration kAgentHeardFor = std::chrono::seconds(3);
+/** An agent is sent changes for this long after its last heartbeat. */
+constexpr Duration kAgentTimeout = std::chrono::seconds(3);
 
 } // namespace
 
@@ -40,8 +40,8 @@
   , mSnapshotBudget(aOptions.mSnapshotBytesPerSecond,
                     aOptions.mSnapshotBytesPerSecond)
   , mStartedAt(aNow)
-  , mDigestAt(aNow + aOptions.mDigestEvery)
-  , mGrownAt(aNow)
+  , mDigestAt(aNow + aOptions.mDigestInterval)
+  , mHostCountChangedAt(aNow)
 {
   std::erase(mSeeds, mSelf.mControl);
   mSelf.mService = BalancerService();
@@ -85,62 +85,63 @@
   std::visit([&](const auto& aIt) { On(aIt, aNow); }, aMessage);
 }
 
-void BalancerMembership::On(const Heartbeat& aBeat, Time aNow)
+void BalancerMembership::On(const Heartbeat& aHeartbeat, Time aNow)
 {
-  bool isNewPeer = aBeat.mTable == MemberTableId::Balancers &&
-                   FindBalancer(aBeat.mRecord.mMember.mHost) == nullptr;
-  bool taken = TableOf(aBeat.mTable).OnHeartbeat(aBeat, aNow);
-  if (taken && isNewPeer) {
-    // It learns of this balancer, and through it of the hosts, half a second
-    // before the next heartbeat would tell it.
-    Send(aBeat.mRecord.mMember.mControl, MakeBeat());
+  bool isNewPeer = aHeartbeat.mTable == MemberTableId::Balancers &&
+                   FindBalancer(aHeartbeat.mRecord.mMember.mHost) == nullptr;
+  bool accepted = TableOf(aHeartbeat.mTable).OnHeartbeat(aHeartbeat, aNow);
+  if (accepted && isNewPeer) {
+    // The new peer learns of this balancer, and through it of the hosts,
+    // without waiting up to 0.5 s for the next periodic heartbeat.
+    Send(aHeartbeat.mRecord.mMember.mControl, MakeHeartbeat());
   }
-  if (taken) {
-    TellOfNewer(aBeat, aNow);
+  if (accepted) {
+    SendNewerIncarnation(aHeartbeat, aNow);
   }
-  if (!taken || aBeat.mTable != MemberTableId::Hosts) {
+  if (!accepted || aHeartbeat.mTable != MemberTableId::Hosts) {
     return;
   }
-  const Member& member = aBeat.mRecord.mMember;
+  const Member& member = aHeartbeat.mRecord.mMember;
   if (member.mState == HostState::Leaving) {
     mAgents.erase(member.mHost);
     return;
   }
   mAgents[member.mHost] = { member.mControl, member.mService,
-                            aBeat.mServiceDigest != kWantsNoPeers, aNow };
-  Confirm(aBeat);
-  RepairAgent(aBeat, aNow);
+                            aHeartbeat.mServiceDigest != kWantsNoPeers, aNow };
+  ConfirmHeartbeat(aHeartbeat);
+  RepairAgent(aHeartbeat, aNow);
 }
 
-/** Failure met: an agent that was paused or cut off goes on running its flows
- * while others take them over. The answer names the heartbeat that it answers,
- * so that the agent knows how long ago it was surely held alive; without one
- * for a while it stops deciding. */
-void BalancerMembership::Confirm(const Heartbeat& aBeat)
+/** Failure met: an agent that was stalled or isolated continues to run its
+ * flows while other hosts take them over. The answer carries the number of the
+ * heartbeat, so the agent knows until when it was certainly considered alive;
+ * without an answer for some time it stops making decisions. */
+void BalancerMembership::ConfirmHeartbeat(const Heartbeat& aHeartbeat)
 {
   MemberDelta answer;
   answer.mVersion = mHosts.Version();
-  answer.mAnswersBeat = aBeat.mRecord.mBeat;
-  Send(aBeat.mRecord.mMember.mControl, answer);
+  answer.mAnswersBeat = aHeartbeat.mRecord.mBeat;
+  Send(aHeartbeat.mRecord.mMember.mControl, answer);
 }
 
 void BalancerMembership::On(const MemberDelta& aDelta, Time aNow)
 {
   if (aDelta.mAsks && !aDelta.mRecords.empty()) {
-    Send(aDelta.mRecords.front().mMember.mControl, MakeBeat());
+    Send(aDelta.mRecords.front().mMember.mControl, MakeHeartbeat());
   }
-  std::vector<MemberRecord> news = TableOf(aDelta.mTable).OnDelta(aDelta, aNow);
+  std::vector<MemberRecord> changed =
+    TableOf(aDelta.mTable).OnDelta(aDelta, aNow);
   if (aDelta.mTable == MemberTableId::Balancers) {
-    YieldToNewer(aDelta, aNow);
+    SupersedeNewerIncarnation(aDelta, aNow);
   }
-  if (aDelta.mTree == kNoTree || news.empty()) {
+  if (aDelta.mTree == kNoTree || changed.empty()) {
     return;
   }
-  MemberDelta onward{ aDelta.mTable, aDelta.mVersion, aDelta.mTree, false,
-                      std::move(news) };
+  MemberDelta forwarded{ aDelta.mTable, aDelta.mVersion, aDelta.mTree, false,
+                         std::move(changed) };
   for (const Address& it : mTree.NextHops(aDelta.mTree)) {
-    mBudget.Take(BytesOf(onward));
-    Send(it, onward);
+    mBudget.Take(EncodedBytes(forwarded));
+    Send(it, forwarded);
   }
 }
 
@@ -148,30 +149,31 @@
 {
   mHosts.OnTick(aNow);
   mBalancers.OnTick(aNow);
-  if (IsSeeking(aNow) && aNow - mBeatAt >= mOptions.mSeekEvery) {
-    Beat(aNow);
+  if (IsDiscovering(aNow) &&
+      aNow - mHeartbeatAt >= mOptions.mDiscoveryInterval) {
+    SendHeartbeats(aNow);
   }
-  if (aNow - mBeatAt >= mOptions.mHeartbeatEvery) {
-    Beat(aNow);
-    AskSuspected(mHosts, aNow);
-    AskSuspected(mBalancers, aNow);
+  if (aNow - mHeartbeatAt >= mOptions.mHeartbeatEvery) {
+    SendHeartbeats(aNow);
+    RequestHeartbeatsFromSuspects(mHosts, aNow);
+    RequestHeartbeatsFromSuspects(mBalancers, aNow);
   }
   UpdateBalancers(aNow);
   if (!mStarted) {
     Bootstrap(aNow);
   }
-  if (aNow - mFlushAt >= mOptions.mFlushEvery) {
+  if (aNow - mFlushAt >= mOptions.mFlushInterval) {
     mFlushAt = aNow;
     Flush(mHosts, aNow);
     Flush(mBalancers, aNow);
-    TellAgents(aNow);
+    NotifyAgents(aNow);
   }
   ServeSnapshots(aNow);
   MemberViewPtr view = mBalancers.View(BalancerService());
   if (aNow >= mDigestAt && view->mMembers.size() > 1) {
-    // A little jitter, so that balancers started together don't stay in step.
-    mDigestAt = aNow + mOptions.mDigestEvery +
-                mOptions.mDigestEvery / 8 * (mRandom() % 3);
+    // Jitter keeps balancers that started together from staying synchronised.
+    mDigestAt = aNow + mOptions.mDigestInterval +
+                mOptions.mDigestInterval / 8 * (mRandom() % 3);
     const Member& peer = view->mMembers[mRandom() % view->mMembers.size()];
     if (peer.mHost != mSelf.mHost) {
       SendDigests(peer.mControl, false);
@@ -179,46 +181,46 @@
   }
 }
 
-bool BalancerMembership::IsSeeking(Time aNow) const
+bool BalancerMembership::IsDiscovering(Time aNow) const
 {
   return mBalancers.View(BalancerService())->mMembers.size() <= 1 &&
-         aNow - mStartedAt < mOptions.mSeekFor;
+         aNow - mStartedAt < mOptions.mDiscoveryTimeout;
 }
 
-Heartbeat BalancerMembership::MakeBeat()
+Heartbeat BalancerMembership::MakeHeartbeat()
 {
-  Heartbeat beat;
-  beat.mTable = MemberTableId::Balancers;
-  beat.mRecord.mMember = mSelf;
-  beat.mRecord.mBeat = ++mBeat;
-  beat.mRecord.mAge = std::chrono::hours(1);
-  beat.mVersion = mHosts.Version();
-  return beat;
+  Heartbeat heartbeat;
+  heartbeat.mTable = MemberTableId::Balancers;
+  heartbeat.mRecord.mMember = mSelf;
+  heartbeat.mRecord.mBeat = ++mHeartbeatNumber;
+  heartbeat.mRecord.mAge = std::chrono::hours(1);
+  heartbeat.mVersion = mHosts.Version();
+  return heartbeat;
 }
 
-void BalancerMembership::Beat(Time aNow)
+void BalancerMembership::SendHeartbeats(Time aNow)
 {
-  mBeatAt = aNow;
-  Heartbeat beat = MakeBeat();
-  mBalancers.OnHeartbeat(beat, aNow);
+  mHeartbeatAt = aNow;
+  Heartbeat heartbeat = MakeHeartbeat();
+  mBalancers.OnHeartbeat(heartbeat, aNow);
   MemberViewPtr view = mBalancers.View(BalancerService());
-  // One more than judge it, in case this balancer's list is behind theirs.
+  // One more than the rule asks for, in case this balancer's list is outdated.
   std::size_t n = mOptions.mMonitors.CountOf(view->mMembers.size()) + 1;
-  std::vector<Address> to;
+  std::vector<Address> receivers;
   for (const Member& it :
        ChooseMonitors(mSelf.mHost, mSelf.mDataCentre, view->mMembers, n)) {
-    to.push_back(it.mControl);
+    receivers.push_back(it.mControl);
   }
-  // Seeds that are not members yet have to be met by their addresses.
+  // Seeds that are not members yet are reached by their addresses.
   for (const Address& it : mSeeds) {
     bool known = std::ranges::count(view->mMembers, it, &Member::mControl) > 0;
     if (!known) {
-      to.push_back(it);
+      receivers.push_back(it);
     }
   }
-  for (const Address& it : to) {
+  for (const Address& it : receivers) {
     if (it != mSelf.mControl) {
-      Send(it, beat);
+      Send(it, heartbeat);
     }
   }
 }
@@ -232,7 +234,7 @@
 void BalancerMembership::Leave(Time aNow)
 {
   mSelf.mState = HostState::Leaving;
-  Beat(aNow);
+  SendHeartbeats(aNow);
 }
 
 void BalancerMembership::UpdateBalancers(Time aNow)
@@ -242,18 +244,18 @@
   }
   MemberViewPtr view = mBalancers.View(BalancerService());
   mTree.SetBalancers(mSelf.mHost, view->mMembers);
-  bool judgedAll =
-    std::exchange(mJudgesAll, mOptions.mMonitors.AreAll(view->mMembers.size()));
-  if (mJudgesAll && judgedAll) {
+  bool monitoredAll = std::exchange(
+    mMonitorsAll, mOptions.mMonitors.IncludesAll(view->mMembers.size()));
+  if (mMonitorsAll && monitoredAll) {
     return;
   }
-  auto monitors = [this, view](const Member& aMember) {
-    return mJudgesAll ||
+  auto isMonitoredHere = [this, view](const Member& aMember) {
+    return mMonitorsAll ||
            IsMonitor(mSelf.mHost, aMember.mHost, aMember.mDataCentre,
                      view->mMembers, mOptions.mMonitors.mCount);
   };
-  mHosts.SetMonitored(monitors, aNow);
-  mBalancers.SetMonitored(monitors, aNow);
+  mHosts.SetMonitored(isMonitoredHere, aNow);
+  mBalancers.SetMonitored(isMonitoredHere, aNow);
 }
 
 void BalancerMembership::Flush(MemberTable& aTable, Time aNow)
@@ -277,13 +279,13 @@
 {
   for (const auto& [tree, delta] : aByTree) {
     for (const Address& it : mTree.FirstHops(tree)) {
-      mBudget.Take(BytesOf(delta));
+      mBudget.Take(EncodedBytes(delta));
       Send(it, delta);
     }
   }
 }
 
-void BalancerMembership::TellAgents(Time aNow)
+void BalancerMembership::NotifyAgents(Time aNow)
 {
   std::map<ServiceId, MemberDelta> byService;
   for (const MemberRecord& it : mHosts.TakeNews(aNow)) {
@@ -297,13 +299,13 @@
   balancers.mRecords = mBalancers.TakeNews(aNow);
   for (auto it = mAgents.begin(); it != mAgents.end();) {
     const Agent& agent = it->second;
-    if (aNow - agent.mHeardAt > kAgentHeardFor) {
+    if (aNow - agent.mLastHeartbeatAt > kAgentTimeout) {
       it = mAgents.erase(it);
       continue;
     }
-    auto news = byService.find(agent.mService);
-    if (agent.mWantsPeers && news != byService.end()) {
-      Send(agent.mControl, news->second);
+    auto changes = byService.find(agent.mService);
+    if (agent.mWantsPeers && changes != byService.end()) {
+      Send(agent.mControl, changes->second);
     }
     if (!balancers.mRecords.empty()) {
       Send(agent.mControl, balancers);
--- a/src/membership/BalancerMembership.h
+++ b/src/membership/BalancerMembership.h
@@ -18,13 +18,15 @@
 
 namespace heatherplank {
 
-/** Whether a balancer's view can be used (/readyz). */
+/** Whether a balancer's view can be used; reported by /readyz. */
 enum class MembershipReadiness : std::uint8_t
 {
-  /** No view yet: a snapshot is under way, or heartbeats have not settled. */
+  /** No view yet: a snapshot is being received, or heartbeats still add new
+   * members. */
   Starting,
   Ready,
-  /** Most of the fleet is silent: the last view is kept, and may be stale. */
+  /** Most of the fleet is unresponsive: the last view is retained, and may be
+   * stale. */
   Isolated,
 };
 
@@ -33,60 +35,62 @@
 struct BalancerMembershipOptions
 {
   MemberTableOptions mTable;
-  /** Control addresses of balancers to begin with, from the settings. */
+  /** Control addresses of the first balancers to contact, from the settings. */
   std::vector<Address> mSeeds;
   Duration mHeartbeatEvery = std::chrono::milliseconds(500);
-  /** How often it beats to its seeds while it knows no other balancer, mSeekFor
-   * at most: see AgentMembershipOptions::mSeekEvery. */
-  Duration mSeekEvery = std::chrono::milliseconds(50);
-  Duration mSeekFor = std::chrono::seconds(5);
-  /** Monitors of a host, and of a balancer. */
+  /** Interval of heartbeats to the seeds while no other balancer is known, for
+   * up to mDiscoveryTimeout: see AgentMembershipOptions::mDiscoveryInterval. */
+  Duration mDiscoveryInterval = std::chrono::milliseconds(50);
+  Duration mDiscoveryTimeout = std::chrono::seconds(5);
+  /** Chooses the monitors of a host, and of a balancer. */
   MonitorRule mMonitors;
-  /** Changes wait this long for others to share their message. */
-  Duration mFlushEvery = std::chrono::milliseconds(100);
-  /** Bytes a second for changes and repair, and for snapshots to a new
-   * balancer, which come seldom. */
+  /** Changes are batched for this long into one message. */
+  Duration mFlushInterval = std::chrono::milliseconds(100);
+  /** Bytes per second for changes and repair, and for snapshots to a new
+   * balancer, which are rare. */
   double mBytesPerSecond = 12000;
   double mSnapshotBytesPerSecond = 250000;
-  Duration mDigestEvery = std::chrono::seconds(10);
-  /** Ranges asked for after a digest. */
-  std::size_t mRepairRanges = 8;
-  /** Records of one snapshot chunk. */
+  Duration mDigestInterval = std::chrono::seconds(10);
+  /** Maximum number of ranges requested after a digest. */
+  std::size_t mMaxRepairRanges = 8;
+  /** Maximum number of records in a snapshot chunk. */
   std::uint32_t mChunkRecords = 512;
-  /** A peer that sends no chunk for this long is left for the next. */
+  /** A peer that sends no chunk for this long is replaced by the next one. */
   Duration mChunkTimeout = std::chrono::milliseconds(800);
-  /** With no peer answering: ready once no new member came for this long,
-   * three heartbeats of an agent. */
-  Duration mSettleFor = std::chrono::milliseconds(1500);
+  /** If no peer answers, a balancer is ready once no new member has appeared
+   * for this long: three heartbeat intervals of an agent. */
+  Duration mSettleDuration = std::chrono::milliseconds(1500);
 };
 
-/** Membership in a balancer: hosts and balancers, spread to peers and to the
- * agents that it monitors. Pure: messages and time in, messages out. Not thread
- * safe; the views that it gives out are.
+/** Membership in a balancer: holds the hosts and balancers, and sends changes
+ * to its peers and to the agents that it monitors. No I/O or clock access:
+ * takes messages and the time, returns messages to send. Not thread safe; the
+ * views that it returns are.
  */
 class BalancerMembership
 {
 public:
-  /** aSelf is this balancer as a member (its service is set here). aCheck must
-   * outlive it. */
+  /** aSelf describes this balancer as a member; its service and state are set
+   * by the constructor. aCheck must outlive this object. */
   BalancerMembership(const Member& aSelf, const InventoryCheck& aCheck,
                      const BalancerMembershipOptions& aOptions,
                      std::uint64_t aSeed, Time aNow);
 
-  /** A message from an agent or a balancer. */
+  /** Handles a message from an agent or a balancer. */
   void OnMessage(const MembershipMessage& aMessage, Time aNow);
-  /** Call it a few times a second, at least each mFlushEvery. */
+  /** Call a few times a second, at least once per mFlushInterval. */
   void OnTick(Time aNow);
-  /** The inventory changed. */
+  /** Applies a changed inventory. */
   void OnInventory(Time aNow) { mHosts.Recheck(aNow); }
-  /** Other balancers to begin with: the settings changed. */
+  /** Replaces the seeds after the settings changed. */
   void SetSeeds(std::vector<Address> aSeeds);
-  /** Asks some hosts in view, at random, for a heartbeat to this balancer. */
+  /** Requests heartbeats to this balancer from up to aCount randomly chosen
+   * hosts in view, which are returned. */
   std::vector<Member> AskSome(std::size_t aCount, Time aNow);
-  /** This balancer stops: tells its peers. */
+  /** Announces to the peers that this balancer is stopping. */
   void Leave(Time aNow);
 
-  /** Messages to send since the last call. */
+  /** Returns the messages to send that were produced since the last call. */
   std::vector<SendMembership> TakeActions();
 
   MembershipReadiness Readiness() const;
@@ -95,7 +99,7 @@
   const MemberTable& Balancers() const { return mBalancers; }
 
 private:
-  /** Lets every balancer be a member of the balancers' table. */
+  /** Admits any balancer to the table of balancers. */
   class BalancerCheck final : public InventoryCheck
   {
   public:
@@ -104,16 +108,16 @@
       return aMember.mService == BalancerService();
     }
   };
-  /** An agent that beats to this balancer. */
+  /** An agent that sends heartbeats to this balancer. */
   struct Agent
   {
     Address mControl;
     ServiceId mService;
     bool mWantsPeers = true;
-    Time mHeardAt{};
+    Time mLastHeartbeatAt{};
   };
 
-  void On(const Heartbeat& aBeat, Time aNow);
+  void On(const Heartbeat& aHeartbeat, Time aNow);
   void On(const MemberDelta& aDelta, Time aNow);
   void On(const MemberDigest& aDigest, Time aNow);
   void On(const MemberSnapshotRequest& aRequest, Time aNow);
@@ -122,28 +126,28 @@
   const Member* FindBalancer(HostId aHost) const;
   void Send(const Address& aTo, const MembershipMessage& aMessage);
   void UpdateBalancers(Time aNow);
-  void Beat(Time aNow);
-  bool IsSeeking(Time aNow) const;
-  Heartbeat MakeBeat();
-  void AskSuspected(const MemberTable& aTable, Time aNow);
-  void Ask(std::span<const Member> aMembers, Time aNow);
+  void SendHeartbeats(Time aNow);
+  bool IsDiscovering(Time aNow) const;
+  Heartbeat MakeHeartbeat();
+  void RequestHeartbeatsFromSuspects(const MemberTable& aTable, Time aNow);
+  void RequestHeartbeats(std::span<const Member> aMembers, Time aNow);
   void Flush(MemberTable& aTable, Time aNow);
   void SendChanges(std::map<std::uint8_t, MemberDelta>& aByTree);
-  void TellAgents(Time aNow);
-  void Confirm(const Heartbeat& aBeat);
-  void TellOfNewer(const Heartbeat& aBeat, Time aNow);
-  void YieldToNewer(const MemberDelta& aDelta, Time aNow);
-  void RepairAgent(const Heartbeat& aBeat, Time aNow);
+  void NotifyAgents(Time aNow);
+  void ConfirmHeartbeat(const Heartbeat& aHeartbeat);
+  void SendNewerIncarnation(const Heartbeat& aHeartbeat, Time aNow);
+  void SupersedeNewerIncarnation(const MemberDelta& aDelta, Time aNow);
+  void RepairAgent(const Heartbeat& aHeartbeat, Time aNow);
   void SendService(const Address& aTo, const MemberTable& aTable,
                    ServiceId aService, Time aNow);
   void SendDigests(const Address& aTo, bool aIsReply);
   void ServeSnapshots(Time aNow);
-  void AskForSnapshot(Time aNow);
+  void RequestSnapshot(Time aNow);
   void Bootstrap(Time aNow);
 
   Member mSelf;
   const BalancerMembershipOptions mOptions;
-  /** Of the options, without this balancer. */
+  /** The seeds without this balancer. */
   std::vector<Address> mSeeds;
   BalancerCheck mBalancerCheck;
   MemberTable mHosts;
@@ -153,24 +157,25 @@
   ByteBudget mBudget;
   ByteBudget mSnapshotBudget;
   std::map<HostId, Agent> mAgents;
-  std::deque<MemberSnapshotRequest> mToServe;
+  std::deque<MemberSnapshotRequest> mSnapshotRequests;
   std::vector<SendMembership> mActions;
-  std::uint32_t mBeat = 0;
-  Time mBeatAt{};
+  std::uint32_t mHeartbeatNumber = 0;
+  Time mHeartbeatAt{};
   const Time mStartedAt;
   Time mFlushAt{};
   Time mDigestAt{};
-  /** Every balancer is a monitor of every host. */
-  bool mJudgesAll = true;
+  /** True if every balancer monitors every host. */
+  bool mMonitorsAll = true;
 
-  // Start: the snapshot's cursor, the peer asked, and when.
+  // Bootstrap: progress of the snapshot, and growth of the table of hosts.
   bool mStarted = false;
+  /** The first host not yet covered by received chunks. */
   HostId mCursor;
-  std::size_t mSeed = 0;
-  Time mAskedAt{};
-  Time mGrownAt{};
+  std::size_t mSeedIndex = 0;
+  Time mSnapshotRequestedAt{};
+  Time mHostCountChangedAt{};
   std::size_t mSeedsTried = 0;
-  std::size_t mKnown = 0;
+  std::size_t mHostCount = 0;
 };
 
 } // namespace heatherplank
--- a/src/membership/BalancerRepair.cpp
+++ b/src/membership/BalancerRepair.cpp
@@ -1,5 +1,4 @@
-// Repair: how beliefs that are wrong, here, at a peer or at an agent, are
-// mended.
+// Repair of outdated or wrong records in this balancer, its peers and agents.
 #include "src/membership/BalancerMembership.h"
 #include "src/membership/MessageSize.h"
 
@@ -7,89 +6,96 @@
 
 namespace {
 
-/** Silent members asked in one round of heartbeats: 64 of some 200 bytes are
- * 25 KB a second while a rack is lost. */
-constexpr std::size_t kMostAsked = 64;
+/** Maximum number of suspected members queried per heartbeat interval: 64
+ * requests of about 200 bytes are 25 KB/s while a rack is down. */
+constexpr std::size_t kMaxHeartbeatRequests = 64;
 
 } // namespace
 
-/** Failure met: while lists of balancers differ, as when many start one after
- * the other, a balancer holds itself for the monitor of a host that beats to
- * others, and declares it dead. Shown by members that one balancer drops and
- * that beat all the while: 1,049 times in 40 s of 40 balancers and 120 hosts,
- * played; their open flows were not found there. Who is asked answers by a
- * heartbeat, whoever it holds for its monitors. */
-void BalancerMembership::AskSuspected(const MemberTable& aTable, Time aNow)
+/** Failure met: while the lists of balancers differ, for example because many
+ * start one after another, a balancer considers itself the monitor of a host
+ * that sends heartbeats to others, and declares it dead: 1,049 times in 40 s of
+ * a simulation with 40 balancers and 120 live hosts, whose open flows were then
+ * not found there. A suspected member is therefore sent a request for a
+ * heartbeat, and answers whichever monitors it has chosen itself. */
+void BalancerMembership::RequestHeartbeatsFromSuspects(
+  const MemberTable& aTable, Time aNow)
 {
-  Ask(aTable.Suspected(kMostAsked), aNow);
+  RequestHeartbeats(aTable.Suspected(kMaxHeartbeatRequests), aNow);
 }
 
 std::vector<Member> BalancerMembership::AskSome(std::size_t aCount, Time aNow)
 {
-  auto asked = mHosts.Sample(aCount, mRandom);
-  Ask(asked, aNow);
-  return asked;
+  auto sample = mHosts.Sample(aCount, mRandom);
+  RequestHeartbeats(sample, aNow);
+  return sample;
 }
 
-void BalancerMembership::Ask(std::span<const Member> aMembers, Time aNow)
+void BalancerMembership::RequestHeartbeats(std::span<const Member> aMembers,
+                                           Time aNow)
 {
   auto self = mBalancers.Find(mSelf.mHost, aNow);
   if (!self) {
     return;
   }
-  MemberDelta ask;
-  ask.mTable = MemberTableId::Balancers;
-  ask.mVersion = mBalancers.Version();
-  ask.mRecords.push_back(*self);
-  ask.mAsks = true;
+  MemberDelta request;
+  request.mTable = MemberTableId::Balancers;
+  request.mVersion = mBalancers.Version();
+  request.mRecords.push_back(*self);
+  request.mAsks = true;
   for (const Member& it : aMembers) {
-    mBudget.Take(BytesOf(ask));
-    Send(it.mControl, ask);
+    mBudget.Take(EncodedBytes(request));
+    Send(it.mControl, request);
   }
 }
 
-/** Tells the sender that a newer life of it is held here: see YieldToNewer. */
-void BalancerMembership::TellOfNewer(const Heartbeat& aBeat, Time aNow)
+/** Sends a member the record of its newer incarnation, if this balancer holds
+ * one: see SupersedeNewerIncarnation. */
+void BalancerMembership::SendNewerIncarnation(const Heartbeat& aHeartbeat,
+                                              Time aNow)
 {
-  const Member& beats = aBeat.mRecord.mMember;
-  auto held = TableOf(aBeat.mTable).Find(beats.mHost, aNow);
-  if (held && held->mMember.mIncarnation > beats.mIncarnation) {
+  const Member& sender = aHeartbeat.mRecord.mMember;
+  auto current = TableOf(aHeartbeat.mTable).Find(sender.mHost, aNow);
+  if (current && current->mMember.mIncarnation > sender.mIncarnation) {
     MemberDelta newer;
-    newer.mTable = aBeat.mTable;
-    newer.mRecords.push_back(*held);
-    Send(beats.mControl, newer);
+    newer.mTable = aHeartbeat.mTable;
+    newer.mRecords.push_back(*current);
+    Send(sender.mControl, newer);
   }
 }
 
-/** The same as AgentMembership::YieldToNewer for a balancer: shown by one that
- * all others dropped after its restart and that hears of no change. */
-void BalancerMembership::YieldToNewer(const MemberDelta& aDelta, Time aNow)
+/** The counterpart of AgentMembership::SupersedeNewerIncarnation. Without it a
+ * balancer that restarts with a lower incarnation is dropped by all others and
+ * receives no changes. */
+void BalancerMembership::SupersedeNewerIncarnation(const MemberDelta& aDelta,
+                                                   Time aNow)
 {
   for (const MemberRecord& it : aDelta.mRecords) {
     if (it.mMember.mHost == mSelf.mHost &&
         it.mMember.mIncarnation > mSelf.mIncarnation) {
       mSelf.mIncarnation = it.mMember.mIncarnation + 1;
-      Beat(aNow);
+      SendHeartbeats(aNow);
     }
   }
 }
 
-/** Failure met: a change on its way to an agent is lost, and the agent goes on
- * handing flows to a host that left. Each heartbeat carries the hash of what
- * its agent holds; where it differs the whole service is sent again. */
-void BalancerMembership::RepairAgent(const Heartbeat& aBeat, Time aNow)
+/** Failure met: a change sent to an agent is lost, and the agent continues to
+ * hand off flows to a host that left. Each heartbeat carries digests of the
+ * agent's members and balancers; if one differs, the whole list is sent. */
+void BalancerMembership::RepairAgent(const Heartbeat& aHeartbeat, Time aNow)
 {
-  const Member& member = aBeat.mRecord.mMember;
-  // A balancer that is starting does not hold the whole service yet.
+  const Member& member = aHeartbeat.mRecord.mMember;
+  // A balancer that is still starting holds only part of the service.
   if (!mStarted || mBudget.Available(aNow) == 0) {
     return;
   }
-  bool wantsPeers = aBeat.mServiceDigest != kWantsNoPeers;
+  bool wantsPeers = aHeartbeat.mServiceDigest != kWantsNoPeers;
   if (wantsPeers &&
-      aBeat.mServiceDigest != mHosts.ServiceDigest(member.mService)) {
+      aHeartbeat.mServiceDigest != mHosts.ServiceDigest(member.mService)) {
     SendService(member.mControl, mHosts, member.mService, aNow);
   }
-  if (aBeat.mBalancerDigest != mBalancers.ServiceDigest(BalancerService())) {
+  if (aHeartbeat.mBalancerDigest !=
+      mBalancers.ServiceDigest(BalancerService())) {
     SendService(member.mControl, mBalancers, BalancerService(), aNow);
   }
 }
@@ -99,7 +105,7 @@
                                      ServiceId aService, Time aNow)
 {
   MemberDelta delta = aTable.ServiceDelta(aService, aNow);
-  mBudget.Take(BytesOf(delta));
+  mBudget.Take(EncodedBytes(delta));
   Send(aTo, delta);
 }
 
@@ -110,7 +116,7 @@
     return;
   }
   MemberTable& table = TableOf(aDigest.mTable);
-  for (auto& it : table.Differences(aDigest, mOptions.mRepairRanges)) {
+  for (auto& it : table.Differences(aDigest, mOptions.mMaxRepairRanges)) {
     it.mFrom = mSelf.mHost;
     Send(peer->mControl, it);
   }
@@ -118,7 +124,7 @@
     MemberDigest reply = table.Digest();
     reply.mFrom = mSelf.mHost;
     reply.mIsReply = true;
-    mBudget.Take(BytesOf(reply));
+    mBudget.Take(EncodedBytes(reply));
     Send(peer->mControl, reply);
   }
 }
@@ -129,7 +135,7 @@
     MemberDigest digest = it->Digest();
     digest.mFrom = mSelf.mHost;
     digest.mIsReply = aIsReply;
-    mBudget.Take(BytesOf(digest));
+    mBudget.Take(EncodedBytes(digest));
     Send(aTo, digest);
   }
 }
--- a/src/membership/ByteBudget.h
+++ b/src/membership/ByteBudget.h
@@ -8,11 +8,11 @@
 
 namespace heatherplank {
 
-/** A token bucket of bytes. Not thread safe. */
+/** A token bucket that limits bytes per second. Not thread safe. */
 class ByteBudget
 {
 public:
-  /** aBurst: most bytes saved up. */
+  /** aBurst: maximum number of unused bytes that accumulate. */
   ByteBudget(double aBytesPerSecond, double aBurst)
     : mRate(aBytesPerSecond)
     , mBurst(aBurst)
@@ -20,16 +20,17 @@
   {
   }
 
-  /** Bytes that may be sent now. */
+  /** Refills the bucket and returns the number of bytes that may be sent now.
+   */
   std::size_t Available(Time aNow)
   {
-    double grown = std::chrono::duration<double>(aNow - mAt).count() * mRate;
-    mTokens = std::min(mBurst, mTokens + std::max(0.0, grown));
+    double refill = std::chrono::duration<double>(aNow - mAt).count() * mRate;
+    mTokens = std::min(mBurst, mTokens + std::max(0.0, refill));
     mAt = aNow;
     return mTokens > 0 ? static_cast<std::size_t>(mTokens) : 0;
   }
 
-  /** Takes bytes; more than there are makes the next ones wait. */
+  /** Takes bytes; taking more than available delays later sends. */
   void Take(std::size_t aBytes) { mTokens -= static_cast<double>(aBytes); }
 
 private:
--- a/src/membership/MemberEntry.h
+++ b/src/membership/MemberEntry.h
@@ -9,19 +9,20 @@
 
 using MemberHook = boost::intrusive::list_member_hook<>;
 
-/** How the silence of a member counts. */
-enum class Watched : std::uint8_t
+/** How this process monitors the heartbeats of a member. */
+enum class MonitorState : std::uint8_t
 {
-  No,
-  /** It beat to this process. */
-  Heard,
-  /** It has yet to learn that it must. */
-  Forgiven,
-  /** It should have beaten by now. */
-  Silent,
+  Unmonitored,
+  /** Its last heartbeat to this process is recent enough. */
+  Responsive,
+  /** It has sent no heartbeat to this process since monitoring began, and may
+   * not know yet that this process monitors it. */
+  InGracePeriod,
+  /** Its heartbeat is overdue. */
+  Unresponsive,
 };
 
-/** A member in a table, with the lists that it stands in. */
+/** A member in a table, with the hooks of the lists that contain it. */
 struct MemberEntry
 {
   MemberEntry() = default;
@@ -29,24 +30,26 @@
   MemberEntry& operator=(const MemberEntry&) = delete;
 
   MemberRecord mRecord;
-  /** When the latest new beat came, by whatever way. */
-  Time mHeardAt{};
+  /** When the latest new heartbeat became known, directly or through a peer, or
+   * when monitoring began. */
+  Time mLastHeartbeatAt{};
   Time mSuspectedAt{};
   Time mServingSince{};
-  Time mGoneAt{};
-  /** The slow-start step that the view shows. */
-  std::uint16_t mStep = 0;
-  /** The list that mSilenceHook stands in. */
-  Watched mWatched = Watched::No;
-  /** A heartbeat came straight from it since it is watched here. */
-  bool mBeatsHere = false;
-  /** The verdict is this table's own. */
-  bool mJudgedHere = false;
-  MemberHook mSilenceHook;
-  MemberHook mChangeHook;
-  MemberHook mStartHook;
+  Time mGoneSince{};
+  /** The slow-start step by which the view reduces the weight. */
+  std::uint16_t mSlowStartStep = 0;
+  /** Determines the list that contains mMonitorHook. */
+  MonitorState mMonitorState = MonitorState::Unmonitored;
+  /** It has sent a heartbeat to this process since monitoring began. */
+  bool mSendsHeartbeatsHere = false;
+  /** The verdict was reached by this table, not received from a peer. */
+  bool mVerdictIsLocal = false;
+  MemberHook mMonitorHook;
+  MemberHook mPeerChangeHook;
+  MemberHook mSlowStartHook;
   MemberHook mGoneHook;
 
+  /** Left or declared dead: the entry is a tombstone. */
   bool IsGone() const
   {
     return mRecord.mVerdict == Verdict::Dead ||
@@ -58,13 +61,13 @@
 using MemberList = boost::intrusive::list<
   MemberEntry, boost::intrusive::member_hook<MemberEntry, MemberHook, Hook>>;
 
-using SilenceList = MemberList<&MemberEntry::mSilenceHook>;
-using ChangeList = MemberList<&MemberEntry::mChangeHook>;
-using StartList = MemberList<&MemberEntry::mStartHook>;
+using MonitorList = MemberList<&MemberEntry::mMonitorHook>;
+using PeerChangeList = MemberList<&MemberEntry::mPeerChangeHook>;
+using SlowStartList = MemberList<&MemberEntry::mSlowStartHook>;
 using GoneList = MemberList<&MemberEntry::mGoneHook>;
 
-/** Takes an entry out of the list if it stands in it. Precondition: the hook
- * is linked in aList or in none. */
+/** Removes an entry from the list if the list contains it. Precondition: the
+ * hook is linked in aList or unlinked. */
 template<typename List>
 void Unlink(List& aList, MemberEntry& aEntry, const MemberHook& aHook)
 {
--- a/src/membership/MemberRecord.cpp
+++ b/src/membership/MemberRecord.cpp
@@ -17,8 +17,8 @@
 
 auto ContentRank(const MemberRecord& aRecord)
 {
-  // The member itself breaks ties, so that two agents that wrongly share an
-  // incarnation can't make tables differ for ever.
+  // The member itself breaks ties. Otherwise two agents that wrongly share an
+  // incarnation would keep tables different permanently.
   return std::tie(aRecord.mMember.mState, aRecord.mRevision, aRecord.mMember);
 }
 
@@ -36,9 +36,9 @@
 
 bool MergeRecord(MemberRecord& aInto, const MemberRecord& aFrom)
 {
-  Incarnation held = aInto.mMember.mIncarnation;
-  if (aFrom.mMember.mIncarnation != held) {
-    bool newer = aFrom.mMember.mIncarnation > held;
+  Incarnation current = aInto.mMember.mIncarnation;
+  if (aFrom.mMember.mIncarnation != current) {
+    bool newer = aFrom.mMember.mIncarnation > current;
     if (newer) {
       aInto = aFrom;
     }
--- a/src/membership/MemberRecord.h
+++ b/src/membership/MemberRecord.h
@@ -9,75 +9,76 @@
 
 namespace heatherplank {
 
-/** What the balancers hold of a member's life. */
+/** Whether the balancers consider a member alive. */
 enum class Verdict : std::uint8_t
 {
   Alive = 0,
-  /** Not heard for a while; still in the view, and open to refutation. */
+  /** Heartbeats are missing; still in the view, and may be refuted. */
   Suspect = 1,
   /** Out of the view until newer evidence comes. */
   Dead = 2,
 };
 
-/** Which table a message speaks of. */
+/** The table that a message refers to. */
 enum class MemberTableId : std::uint8_t
 {
   Hosts = 0,
   Balancers = 1,
 };
 
-/** The service under which balancers are members of their own table. */
+/** The service under which balancers are members of the balancers' table. */
 ServiceId BalancerService();
 
 /** What is known of a member. Records of one host form a join semilattice: any
  * two have a join, and merging is commutative, associative and idempotent, so
- * tables that saw the same records in any order hold the same.
+ * tables that received the same records in any order hold the same contents.
  */
 struct MemberRecord
 {
   Member mMember;
   /** Counts changes of slots, weight or addresses within a state. */
   std::uint32_t mRevision = 0;
-  /** The latest heartbeat known, counted by the host itself. It takes the
-   * place of a time, which two machines could not compare. */
+  /** Number of the latest known heartbeat, assigned by the host. Used instead
+   * of a time, since the clocks of two machines can't be compared. */
   std::uint32_t mBeat = 0;
-  /** What was concluded from silence after mBeat. */
+  /** The conclusion drawn from missing heartbeats after mBeat. */
   Verdict mVerdict = Verdict::Alive;
-  /** How long the host has served, by its own clock, when sent. */
+  /** How long the host had served when the record was sent, by its own clock.
+   */
   Duration mAge{};
 
   bool operator==(const MemberRecord&) const = default;
 };
 
-/** Merges aFrom into aInto, both of one host. A newer incarnation replaces all.
- * Within one, a later state or revision replaces the content, and the later
- * beat (at the same beat the graver verdict) replaces the verdict. Gives true
- * if aInto changed in more than its beat. Thread safe.
+/** Merges aFrom into aInto, two records of the same host. A newer incarnation
+ * replaces the whole record. Within an incarnation, a later state or revision
+ * replaces the content, and a later heartbeat replaces the verdict; at the same
+ * heartbeat the more severe verdict wins. Returns true if aInto changed in more
+ * than its heartbeat number. Thread safe.
  */
 bool MergeRecord(MemberRecord& aInto, const MemberRecord& aFrom);
 
-/** Hash of what a view shows of a record. Left out are beat, age and suspicion,
- * which differ between tables at rest. */
+/** Hash of the member and its revision. Heartbeat number, age and verdict are
+ * excluded, since they differ between tables that have converged. */
 std::uint64_t HashRecord(const MemberRecord& aRecord);
 
-/** Service digest of an agent that holds no peers, and is to be sent none. */
+/** Service digest sent by an agent that holds no peers and needs none. */
 constexpr std::uint64_t kWantsNoPeers = 0;
 
 struct Heartbeat
 {
   MemberTableId mTable = MemberTableId::Hosts;
   MemberRecord mRecord;
-  /** Highest view version that the sender has seen. It carries the version
-   * over a restart of all balancers. */
+  /** Highest view version known to the sender. Preserves the version when all
+   * balancers restart. */
   std::uint64_t mVersion = 0;
-  /** MemberTable::ServiceDigest of the sender's own service, or
-   * kWantsNoPeers. */
+  /** MemberTable::ServiceDigest of the sender's service, or kWantsNoPeers. */
   std::uint64_t mServiceDigest = 0;
-  /** MemberTable::ServiceDigest of the balancers it knows, or 0. */
+  /** MemberTable::ServiceDigest of the balancers known to the sender, or 0. */
   std::uint64_t mBalancerDigest = 0;
 };
 
-/** No spreading tree: the receiver passes the records on to nobody. */
+/** No dissemination tree: the receiver doesn't forward the records. */
 constexpr std::uint8_t kNoTree = 255;
 
 struct MemberDelta
@@ -85,14 +86,14 @@
   MemberTableId mTable = MemberTableId::Hosts;
   std::uint64_t mVersion = 0;
   std::uint8_t mTree = kNoTree;
-  /** The records are all that the sender holds of their service. */
+  /** The records are all those of their service that the sender holds. */
   bool mIsComplete = false;
   std::vector<MemberRecord> mRecords;
-  /** In the answer to a heartbeat: its beat, by which the sender knows when it
-   * was sent; 0 in what was not asked for. */
+  /** In the answer to a heartbeat, the number of that heartbeat, from which its
+   * sender finds when it was sent; 0 in an unsolicited delta. */
   std::uint32_t mAnswersBeat = 0;
-  /** The sender misses the receiver's heartbeats and asks for one; its own
-   * record is the only one. */
+  /** Requests a heartbeat from the receiver. The sender's record is then the
+   * only one. */
   bool mAsks = false;
 };
 
@@ -101,10 +102,10 @@
   MemberTableId mTable = MemberTableId::Hosts;
   /** The balancer that sent it. */
   HostId mFrom;
-  /** It answers a digest, and wants none in return. */
+  /** This is the reply to a digest, and is not replied to. */
   bool mIsReply = false;
   std::uint64_t mVersion = 0;
-  /** One hash for each of equal ranges of host ids; a power of two of them. */
+  /** One hash for each of a power of two of equal ranges of host ids. */
   std::vector<std::uint64_t> mHashes;
 };
 
@@ -112,7 +113,7 @@
 {
   MemberTableId mTable = MemberTableId::Hosts;
   HostId mFrom;
-  /** The range asked for, both ends included. */
+  /** The requested range, both ends included. */
   HostId mFirst;
   HostId mLast{ UINT64_MAX };
   std::uint32_t mMaxRecords = 0;
@@ -123,8 +124,8 @@
   MemberTableId mTable = MemberTableId::Hosts;
   HostId mFrom;
   std::uint64_t mVersion = 0;
-  /** The range that the records cover whole; shorter than asked for if the
-   * limit was reached. */
+  /** The range that the records cover completely; shorter than requested if the
+   * record limit was reached. */
   HostId mFirst;
   HostId mLast;
   std::vector<MemberRecord> mRecords;
--- a/src/membership/MemberTable.cpp
+++ b/src/membership/MemberTable.cpp
@@ -37,18 +37,18 @@
   : mId(aId)
   , mCheck(aCheck)
   , mOptions(aOptions)
-  , mIsMonitor([](const Member&) { return true; })
+  , mIsMonitoredHere([](const Member&) { return true; })
 {
 }
 
 MemberTable::~MemberTable()
 {
-  // Hooks check on destruction that they stand in no list.
-  mHeard.clear();
-  mForgiven.clear();
-  mSilent.clear();
-  mChanges.clear();
-  mStarting.clear();
+  // Hooks assert on destruction that they are unlinked.
+  mResponsive.clear();
+  mInGracePeriod.clear();
+  mUnresponsive.clear();
+  mPeerChanges.clear();
+  mSlowStarting.clear();
   mGone.clear();
 }
 
@@ -70,24 +70,24 @@
   if (IsRefused(record)) {
     return false;
   }
-  const MemberEntry* held = Find(record.mMember.mHost);
+  const MemberEntry* current = Find(record.mMember.mHost);
   bool stale =
-    held != nullptr &&
-    (held->mRecord.mMember.mIncarnation > record.mMember.mIncarnation ||
-     (held->mRecord.mMember.mIncarnation == record.mMember.mIncarnation &&
-      held->mRecord.mBeat >= record.mBeat));
-  Bump(stale ? MemberEvent::HeartbeatStale : MemberEvent::HeartbeatTaken);
+    current != nullptr &&
+    (current->mRecord.mMember.mIncarnation > record.mMember.mIncarnation ||
+     (current->mRecord.mMember.mIncarnation == record.mMember.mIncarnation &&
+      current->mRecord.mBeat >= record.mBeat));
+  CountEvent(stale ? MemberEvent::HeartbeatStale : MemberEvent::HeartbeatTaken);
   bool changed = Merge(record, aNow);
   MemberEntry& entry = *Find(record.mMember.mHost);
-  if (!entry.mBeatsHere && !entry.IsGone()) {
-    entry.mBeatsHere = true;
-    Unwatch(entry);
-    Watch(entry, aNow);
+  if (!entry.mSendsHeartbeatsHere && !entry.IsGone()) {
+    entry.mSendsHeartbeatsHere = true;
+    StopMonitoring(entry);
+    StartMonitoring(entry, aNow);
   }
   if (changed) {
     MarkForPeers(entry);
   }
-  CloseEvent(aHeartbeat.mVersion);
+  CommitChanges(aHeartbeat.mVersion);
   return true;
 }
 
@@ -109,53 +109,53 @@
 }
 
 void MemberTable::OnServiceDelta(ServiceId aService, const MemberDelta& aDelta,
-                                 Duration aSilent, Time aNow)
+                                 Duration aUnlistedTimeout, Time aNow)
 {
   OnDelta(aDelta, aNow);
   auto state = mServices.find(aService);
   if (state == mServices.end()) {
     return;
   }
-  std::vector<MemberEntry*> unconfirmed;
+  std::vector<MemberEntry*> dropped;
   std::set<HostId> listed;
   for (const MemberRecord& it : aDelta.mRecords) {
     listed.insert(it.mMember.mHost);
   }
   for (const auto& [host, entry] : state->second.mEntries) {
-    bool silent = aNow - entry->mHeardAt >= aSilent;
-    if (!listed.contains(host) && !entry->IsGone() && silent) {
-      unconfirmed.push_back(entry);
+    bool outdated = aNow - entry->mLastHeartbeatAt >= aUnlistedTimeout;
+    if (!listed.contains(host) && !entry->IsGone() && outdated) {
+      dropped.push_back(entry);
     }
   }
-  for (MemberEntry* it : unconfirmed) {
+  for (MemberEntry* it : dropped) {
     Erase(*it);
   }
-  CloseEvent(aDelta.mVersion);
+  CommitChanges(aDelta.mVersion);
 }
 
 std::vector<MemberRecord> MemberTable::MergeAll(
   std::span<const MemberRecord> aRecords, std::uint64_t aVersion, Time aNow)
 {
-  std::vector<MemberRecord> news;
+  std::vector<MemberRecord> changed;
   for (const MemberRecord& it : aRecords) {
     if (!IsRefused(it) && Merge(it, aNow)) {
-      news.push_back(it);
+      changed.push_back(it);
     }
   }
-  CloseEvent(aVersion);
-  return news;
+  CommitChanges(aVersion);
+  return changed;
 }
 
-/** Failure met: an agent with a wrong setting announces itself for a service
- * that is not its own, and would be sent that service's requests. Shown by
- * refused_by_inventory. It holds since every way into the table passes here,
- * and the agent checks the service again on delivery. */
+/** Failure met: a misconfigured agent announces itself for a service that its
+ * host doesn't run, and would be sent that service's requests. Visible in the
+ * counter refused_by_inventory. Every record that enters the table is checked
+ * here, and the agent checks the service again on delivery. */
 bool MemberTable::IsRefused(const MemberRecord& aRecord)
 {
   if (mCheck.Allows(aRecord.mMember)) {
     return false;
   }
-  Bump(MemberEvent::RefusedByInventory);
+  CountEvent(MemberEvent::RefusedByInventory);
   return true;
 }
 
@@ -174,7 +174,7 @@
   entry.mRecord = aRecord;
   entry.mServingSince = aNow - aRecord.mAge;
   mServices[aRecord.mMember.mService].mEntries[aRecord.mMember.mHost] = &entry;
-  Place(entry, aNow);
+  UpdateLists(entry, aNow);
   MarkChanged(entry);
   return true;
 }
@@ -182,26 +182,27 @@
 bool MemberTable::Update(MemberEntry& aEntry, const MemberRecord& aFrom,
                          Time aNow)
 {
-  if (IsDeathHeld(aEntry, aFrom, aNow)) {
+  if (ExceedsDeathCap(aEntry, aFrom, aNow)) {
     return false;
   }
-  Refute(aEntry, aFrom);
+  RefuteStaleVerdict(aEntry, aFrom);
   MemberRecord before = aEntry.mRecord;
   bool changed = MergeRecord(aEntry.mRecord, aFrom);
-  const Member& held = aEntry.mRecord.mMember;
-  bool restarted = held.mIncarnation != before.mMember.mIncarnation;
-  if (restarted || held.mState != before.mMember.mState) {
+  const Member& current = aEntry.mRecord.mMember;
+  bool restarted = current.mIncarnation != before.mMember.mIncarnation;
+  if (restarted || current.mState != before.mMember.mState) {
     aEntry.mServingSince = aNow - aFrom.mAge;
   }
-  if (held.mService != before.mMember.mService) {
+  if (current.mService != before.mMember.mService) {
     MarkChanged(aEntry);
-    mServices[before.mMember.mService].mEntries.erase(held.mHost);
-    mTouched.push_back(before.mMember.mService);
-    mServices[held.mService].mEntries[held.mHost] = &aEntry;
+    mServices[before.mMember.mService].mEntries.erase(current.mHost);
+    mUncommittedServices.push_back(before.mMember.mService);
+    mServices[current.mService].mEntries[current.mHost] = &aEntry;
   }
-  bool heard = restarted || aEntry.mRecord.mBeat != before.mBeat;
-  if (heard || held.mState != before.mMember.mState || aEntry.IsGone()) {
-    Place(aEntry, aNow);
+  bool newHeartbeat = restarted || aEntry.mRecord.mBeat != before.mBeat;
+  if (newHeartbeat || current.mState != before.mMember.mState ||
+      aEntry.IsGone()) {
+    UpdateLists(aEntry, aNow);
   }
   if (changed) {
     MarkChanged(aEntry);
@@ -209,109 +210,115 @@
   return changed;
 }
 
-/** Failure met: a peer that is itself cut off declares most hosts dead, and
- * its verdicts empty every view. Shown by death_held_by_cap. It holds since
- * freshly dead hosts are counted whoever judged them. */
-bool MemberTable::IsDeathHeld(const MemberEntry& aEntry,
-                              const MemberRecord& aFrom, Time aNow)
+/** Failure met: an isolated peer declares most hosts dead, and its verdicts
+ * empty every view. Visible in the counter death_held_by_cap. The cap counts
+ * all recent deaths, whichever balancer declared them. */
+bool MemberTable::ExceedsDeathCap(const MemberEntry& aEntry,
+                                  const MemberRecord& aFrom, Time aNow)
 {
-  bool kills = aFrom.mVerdict == Verdict::Dead && !aEntry.IsGone();
-  if (!kills || !mOptions.mCapDeaths) {
+  bool declaresDead = aFrom.mVerdict == Verdict::Dead && !aEntry.IsGone();
+  if (!declaresDead || !mOptions.mCapDeaths) {
     return false;
   }
-  std::size_t dead = FreshlyDead(aNow, false);
+  std::size_t dead = CountRecentDeaths(aNow, false);
   if (dead + 1 <= DeathCap(Size() + dead)) {
     return false;
   }
-  Bump(MemberEvent::DeathHeldByCap);
+  CountEvent(MemberEvent::DeathHeldByCap);
   return true;
 }
 
-/** Failure met: one balancer can't hear a host that others hear, and has it
- * dropped everywhere. Shown by refuted. It holds since beats are counted by
- * the host itself: whoever holds a later beat than the suspicion names has
- * evidence that the suspicion lacks, with no clock compared. */
-void MemberTable::Refute(MemberEntry& aEntry, const MemberRecord& aFrom)
+/** Failure met: one balancer receives no heartbeats from a host that others can
+ * reach, and its suspicion removes the host from every view. Visible in the
+ * counter refuted. Heartbeats are numbered by the host, so a balancer that
+ * knows a later heartbeat than the suspicion does can refute it without
+ * comparing clocks. */
+void MemberTable::RefuteStaleVerdict(MemberEntry& aEntry,
+                                     const MemberRecord& aFrom)
 {
-  const MemberRecord& held = aEntry.mRecord;
-  bool same = aFrom.mMember.mIncarnation == held.mMember.mIncarnation;
-  if (same && aFrom.mVerdict > held.mVerdict && aFrom.mBeat < held.mBeat) {
-    Bump(MemberEvent::Refuted);
+  const MemberRecord& current = aEntry.mRecord;
+  bool sameIncarnation =
+    aFrom.mMember.mIncarnation == current.mMember.mIncarnation;
+  if (sameIncarnation && aFrom.mVerdict > current.mVerdict &&
+      aFrom.mBeat < current.mBeat) {
+    CountEvent(MemberEvent::Refuted);
     MarkForPeers(aEntry);
   }
 }
 
-/** Puts an entry into the lists that its record calls for. */
-void MemberTable::Place(MemberEntry& aEntry, Time aNow)
+/** Moves an entry to the lists that match its record. */
+void MemberTable::UpdateLists(MemberEntry& aEntry, Time aNow)
 {
-  aEntry.mHeardAt = aNow;
-  Unwatch(aEntry);
-  Unlink(mStarting, aEntry, aEntry.mStartHook);
+  aEntry.mLastHeartbeatAt = aNow;
+  StopMonitoring(aEntry);
+  Unlink(mSlowStarting, aEntry, aEntry.mSlowStartHook);
   if (aEntry.IsGone()) {
     if (!aEntry.mGoneHook.is_linked()) {
       bool left = aEntry.mRecord.mMember.mState == HostState::Leaving;
-      Bump(left ? MemberEvent::Left : MemberEvent::DeclaredDead);
-      aEntry.mGoneAt = aNow;
+      CountEvent(left ? MemberEvent::Left : MemberEvent::DeclaredDead);
+      aEntry.mGoneSince = aNow;
       mGone.push_back(aEntry);
     }
     return;
   }
   Unlink(mGone, aEntry, aEntry.mGoneHook);
-  aEntry.mJudgedHere = false;
-  Watch(aEntry, aNow);
-  std::uint16_t step = StepOf(aEntry, aNow);
-  if (step != aEntry.mStep) {
-    aEntry.mStep = step;
+  aEntry.mVerdictIsLocal = false;
+  StartMonitoring(aEntry, aNow);
+  std::uint16_t step = SlowStartStepOf(aEntry, aNow);
+  if (step != aEntry.mSlowStartStep) {
+    aEntry.mSlowStartStep = step;
     MarkChanged(aEntry);
   }
   if (step < mOptions.mSlowStartSteps) {
-    mStarting.push_back(aEntry);
+    mSlowStarting.push_back(aEntry);
   }
 }
 
-void MemberTable::Watch(MemberEntry& aEntry, Time aNow)
+void MemberTable::StartMonitoring(MemberEntry& aEntry, Time aNow)
 {
-  if (mOptions.mJudgesSilence && mIsMonitor(aEntry.mRecord.mMember)) {
-    aEntry.mHeardAt = aNow;
-    aEntry.mWatched = aEntry.mBeatsHere ? Watched::Heard : Watched::Forgiven;
+  if (mOptions.mDetectsFailures && mIsMonitoredHere(aEntry.mRecord.mMember)) {
+    aEntry.mLastHeartbeatAt = aNow;
+    aEntry.mMonitorState = aEntry.mSendsHeartbeatsHere
+                             ? MonitorState::Responsive
+                             : MonitorState::InGracePeriod;
     ListOf(aEntry).push_back(aEntry);
   }
 }
 
-SilenceList& MemberTable::ListOf(const MemberEntry& aEntry)
+MonitorList& MemberTable::ListOf(const MemberEntry& aEntry)
 {
-  switch (aEntry.mWatched) {
-    case Watched::Forgiven:
-      return mForgiven;
-    case Watched::Silent:
-      return mSilent;
+  switch (aEntry.mMonitorState) {
+    case MonitorState::InGracePeriod:
+      return mInGracePeriod;
+    case MonitorState::Unresponsive:
+      return mUnresponsive;
     default:
-      return mHeard;
+      return mResponsive;
   }
 }
 
-void MemberTable::Unwatch(MemberEntry& aEntry)
+void MemberTable::StopMonitoring(MemberEntry& aEntry)
 {
-  if (!aEntry.mSilenceHook.is_linked()) {
+  if (!aEntry.mMonitorHook.is_linked()) {
     return;
   }
-  SilenceList& list = ListOf(aEntry);
+  MonitorList& list = ListOf(aEntry);
   list.erase(list.iterator_to(aEntry));
-  aEntry.mWatched = Watched::No;
+  aEntry.mMonitorState = MonitorState::Unmonitored;
 }
 
 void MemberTable::SetMonitored(
-  const std::function<bool(const Member&)>& aIsMonitor, Time aNow)
+  const std::function<bool(const Member&)>& aIsMonitoredHere, Time aNow)
 {
-  mIsMonitor = aIsMonitor;
+  mIsMonitoredHere = aIsMonitoredHere;
   for (auto& [host, entry] : mEntries) {
-    bool watched = entry.mSilenceHook.is_linked();
-    if (watched && !mIsMonitor(entry.mRecord.mMember)) {
-      Unwatch(entry);
-    } else if (!watched && !entry.IsGone()) {
-      // It may have beaten here by chance, as agents probe balancers.
-      entry.mBeatsHere = false;
-      Watch(entry, aNow);
+    bool monitored = entry.mMonitorHook.is_linked();
+    if (monitored && !mIsMonitoredHere(entry.mRecord.mMember)) {
+      StopMonitoring(entry);
+    } else if (!monitored && !entry.IsGone()) {
+      // Earlier heartbeats may be those that agents send to random balancers.
+      entry.mSendsHeartbeatsHere = false;
+      StartMonitoring(entry, aNow);
     }
   }
 }
@@ -325,15 +332,15 @@
       Erase(entry);
     }
   }
-  CloseEvent();
+  CommitChanges();
   UpdateIsolation(aNow);
 }
 
 void MemberTable::Erase(MemberEntry& aEntry)
 {
-  Unwatch(aEntry);
-  Unlink(mChanges, aEntry, aEntry.mChangeHook);
-  Unlink(mStarting, aEntry, aEntry.mStartHook);
+  StopMonitoring(aEntry);
+  Unlink(mPeerChanges, aEntry, aEntry.mPeerChangeHook);
+  Unlink(mSlowStarting, aEntry, aEntry.mSlowStartHook);
   Unlink(mGone, aEntry, aEntry.mGoneHook);
   Member member = aEntry.mRecord.mMember;
   MarkChanged(aEntry);
--- a/src/membership/MemberTableTime.cpp
+++ b/src/membership/MemberTableTime.cpp
@@ -1,4 +1,5 @@
-// What time does to a table: suspicion, death, slow start, forgetting.
+// Time-driven changes of a table: suspicion, death, slow start and the expiry
+// of tombstones.
 #include <algorithm>
 
 #include "src/membership/MemberTable.h"
@@ -7,49 +8,49 @@
 
 void MemberTable::OnTick(Time aNow)
 {
-  CollectSilent(aNow);
+  CollectUnresponsive(aNow);
   UpdateIsolation(aNow);
   if (!mIsolated) {
     RaiseSuspicions(aNow);
     DeclareDeaths(aNow);
   }
-  MoveSlowStarts(aNow);
+  AdvanceSlowStarts(aNow);
   ExpireTombstones(aNow);
-  CloseEvent();
+  CommitChanges();
 }
 
-void MemberTable::CollectSilent(Time aNow)
+void MemberTable::CollectUnresponsive(Time aNow)
 {
-  MoveOverdue(mHeard, mOptions.mSuspectAfter, aNow);
-  MoveOverdue(mForgiven, mOptions.mSuspectAfter + mOptions.mNewlyJudgedGrace,
-              aNow);
+  MoveOverdue(mResponsive, mOptions.mSuspectAfter, aNow);
+  MoveOverdue(mInGracePeriod,
+              mOptions.mSuspectAfter + mOptions.mNewMonitorGracePeriod, aNow);
 }
 
-void MemberTable::MoveOverdue(SilenceList& aList, Duration aAfter, Time aNow)
+void MemberTable::MoveOverdue(MonitorList& aList, Duration aTimeout, Time aNow)
 {
-  while (!aList.empty() && aNow - aList.front().mHeardAt >= aAfter) {
+  while (!aList.empty() && aNow - aList.front().mLastHeartbeatAt >= aTimeout) {
     MemberEntry& entry = aList.front();
     aList.pop_front();
-    entry.mWatched = Watched::Silent;
-    mSilent.push_back(entry);
+    entry.mMonitorState = MonitorState::Unresponsive;
+    mUnresponsive.push_back(entry);
   }
 }
 
-/** Failure met: this balancer is cut off (or was frozen), hears nobody, and
- * would drop the whole fleet. Shown by IsIsolated and readiness. It holds
- * since all silent hosts are collected before any is judged, so the first
- * death is weighed against the silence of all. */
+/** Failure met: this balancer is isolated or was stalled, receives no
+ * heartbeats, and would drop the whole fleet. Visible in IsIsolated and the
+ * readiness. All overdue hosts are collected before any is declared dead, so
+ * the cap counts every unresponsive host before the first death. */
 void MemberTable::UpdateIsolation(Time aNow)
 {
-  std::size_t silent = mSilent.size() + FreshlyDead(aNow, true);
-  std::size_t cap = DeathCap(mHeard.size() + silent);
-  mIsolated = mOptions.mCapDeaths && silent > cap;
+  std::size_t failed = mUnresponsive.size() + CountRecentDeaths(aNow, true);
+  std::size_t cap = DeathCap(mResponsive.size() + failed);
+  mIsolated = mOptions.mCapDeaths && failed > cap;
 }
 
 std::vector<Member> MemberTable::Suspected(std::size_t aLimit) const
 {
   std::vector<Member> out;
-  for (const MemberEntry& it : mSilent) {
+  for (const MemberEntry& it : mUnresponsive) {
     if (mIsolated || out.size() >= aLimit) {
       break;
     }
@@ -60,93 +61,95 @@
 
 void MemberTable::RaiseSuspicions(Time aNow)
 {
-  for (MemberEntry& it : mSilent) {
-    if (it.mRecord.mVerdict == Verdict::Alive || !it.mJudgedHere) {
-      Bump(MemberEvent::Suspected);
-      Judge(it, Verdict::Suspect, aNow);
+  for (MemberEntry& it : mUnresponsive) {
+    if (it.mRecord.mVerdict == Verdict::Alive || !it.mVerdictIsLocal) {
+      CountEvent(MemberEvent::Suspected);
+      SetLocalVerdict(it, Verdict::Suspect, aNow);
     }
   }
 }
 
 void MemberTable::DeclareDeaths(Time aNow)
 {
-  for (auto it = mSilent.begin(); it != mSilent.end();) {
+  for (auto it = mUnresponsive.begin(); it != mUnresponsive.end();) {
     MemberEntry& entry = *it;
     ++it;
     if (aNow - entry.mSuspectedAt >= mOptions.mRefuteWithin) {
-      Judge(entry, Verdict::Dead, aNow);
-      Place(entry, aNow);
+      SetLocalVerdict(entry, Verdict::Dead, aNow);
+      UpdateLists(entry, aNow);
     }
   }
 }
 
-void MemberTable::Judge(MemberEntry& aEntry, Verdict aVerdict, Time aNow)
+void MemberTable::SetLocalVerdict(MemberEntry& aEntry, Verdict aVerdict,
+                                  Time aNow)
 {
   aEntry.mRecord.mVerdict = aVerdict;
-  aEntry.mJudgedHere = true;
+  aEntry.mVerdictIsLocal = true;
   aEntry.mSuspectedAt = aNow;
   MarkChanged(aEntry);
   MarkForPeers(aEntry);
 }
 
-std::size_t MemberTable::FreshlyDead(Time aNow, bool aJudgedHereOnly) const
+std::size_t MemberTable::CountRecentDeaths(Time aNow, bool aLocalOnly) const
 {
   std::size_t n = 0;
   for (auto it = mGone.rbegin(); it != mGone.rend(); ++it) {
-    if (aNow - it->mGoneAt >= mOptions.mDeadCountsFor) {
+    if (aNow - it->mGoneSince >= mOptions.mRecentDeathWindow) {
       break;
     }
     bool dead = it->mRecord.mVerdict == Verdict::Dead;
-    n += dead && (it->mJudgedHere || !aJudgedHereOnly) ? 1 : 0;
+    n += dead && (it->mVerdictIsLocal || !aLocalOnly) ? 1 : 0;
   }
   return n;
 }
 
 std::size_t MemberTable::DeathCap(std::size_t aMembers) const
 {
-  auto share = static_cast<std::size_t>(mOptions.mDeadShare *
+  auto share = static_cast<std::size_t>(mOptions.mMaxDeadFraction *
                                         static_cast<double>(aMembers));
   return std::max<std::size_t>(1, share);
 }
 
-/** Failure met: a host that just started gets its full share before its caches
- * are warm, and the requests sent to it wait. Shown as latency after each
- * restart. Its weight grows in steps, so that views change a few times and
- * not all the time. */
-void MemberTable::MoveSlowStarts(Time aNow)
+/** Failure met: a host that just started gets its full share of requests before
+ * its caches are warm, and the requests wait. Visible as high latency after
+ * each restart. The weight grows in steps to limit how often views change. */
+void MemberTable::AdvanceSlowStarts(Time aNow)
 {
-  for (auto it = mStarting.begin(); it != mStarting.end();) {
+  for (auto it = mSlowStarting.begin(); it != mSlowStarting.end();) {
     MemberEntry& entry = *it;
-    std::uint16_t step = StepOf(entry, aNow);
-    if (step != entry.mStep) {
-      entry.mStep = step;
+    std::uint16_t step = SlowStartStepOf(entry, aNow);
+    if (step != entry.mSlowStartStep) {
+      entry.mSlowStartStep = step;
       MarkChanged(entry);
     }
-    it = step >= mOptions.mSlowStartSteps ? mStarting.erase(it) : std::next(it);
+    it = step >= mOptions.mSlowStartSteps ? mSlowStarting.erase(it)
+                                          : std::next(it);
   }
 }
 
-/** Failure met: a record that was on its way (or held by a cut-off peer) while
- * its host left brings the host back to life. Shown as a member that answers
- * nothing. The tombstone holds the later state and beat, against which the
- * stale record loses; a record staler than the tombstone's time is silent, so
- * it is suspected and dies again. */
+/** Failure met: a record that was in flight, or held by an isolated peer, when
+ * its host left adds the host again as a member that never answers. The
+ * tombstone has the later state and heartbeat, so merging rejects the stale
+ * record. A stale record that arrives after the tombstone expired is followed
+ * by no heartbeats, so the host is suspected and declared dead again. */
 void MemberTable::ExpireTombstones(Time aNow)
 {
   while (!mGone.empty()) {
     MemberEntry& oldest = mGone.front();
-    bool expired = aNow - oldest.mGoneAt >= mOptions.mTombstoneFor;
-    bool evicted = !expired && mGone.size() > mOptions.mTombstoneLimit;
+    bool expired = aNow - oldest.mGoneSince >= mOptions.mTombstoneTtl;
+    bool evicted = !expired && mGone.size() > mOptions.mMaxTombstones;
     if (!expired && !evicted) {
       return;
     }
-    Bump(expired ? MemberEvent::TombstoneExpired
-                 : MemberEvent::TombstoneEvicted);
+    CountEvent(expired ? MemberEvent::TombstoneExpired
+                       : MemberEvent::TombstoneEvicted);
     Erase(oldest);
   }
 }
 
-std::uint16_t MemberTable::StepOf(const MemberEntry& aEntry, Time aNow) const
+std::uint16_t MemberTable::SlowStartStepOf(const MemberEntry& aEntry,
+                                           Time aNow) const
 {
   HostState state = aEntry.mRecord.mMember.mState;
   if (mOptions.mSlowStart == Duration{}) {
--- a/src/membership/MemberTableViews.cpp
+++ b/src/membership/MemberTableViews.cpp
@@ -1,4 +1,4 @@
-// What a table gives out: views for steering, records and digests for peers.
+// Output of a table: views for routing, records and digests for peers.
 #include <algorithm>
 #include <bit>
 #include <iterator>
@@ -9,16 +9,17 @@
 
 namespace {
 
-/** Members a digest range: small ranges repair precisely, large ones keep the
- * digest short. 16 records are 1.4 KB, a datagram. */
+/** Target number of members per digest range: small ranges limit the records
+ * sent by a repair, large ones keep the digest short. 16 records are 1.4 KB,
+ * one datagram. */
 constexpr std::size_t kMembersPerRange = 16;
 constexpr std::size_t kMaxRanges = 1024;
-/** Records a message unless the request says otherwise. */
-constexpr std::size_t kDefaultRecords = 512;
+/** Record limit of a snapshot if the request sets none. */
+constexpr std::size_t kDefaultMaxRecords = 512;
 
-/** Tombstones count for nothing: each table forgets them at a time of its own,
- * and repair would hand them round for ever. */
-std::uint64_t HashInView(const MemberEntry& aEntry)
+/** Tombstones are excluded from digests: each table expires them at a different
+ * time, and repair would exchange them indefinitely. */
+std::uint64_t HashIfInView(const MemberEntry& aEntry)
 {
   return aEntry.IsGone() ? 0 : HashRecord(aEntry.mRecord);
 }
@@ -46,7 +47,7 @@
 {
   std::vector<std::uint64_t> hashes(aRanges, 0);
   for (const auto& [host, entry] : aEntries) {
-    hashes[RangeOf(host, aRanges)] += HashInView(entry);
+    hashes[RangeOf(host, aRanges)] += HashIfInView(entry);
   }
   return hashes;
 }
@@ -55,21 +56,22 @@
 
 void MemberTable::MarkChanged(MemberEntry& aEntry)
 {
-  mTouched.push_back(aEntry.mRecord.mMember.mService);
-  mNews.insert(aEntry.mRecord.mMember.mHost);
+  mUncommittedServices.push_back(aEntry.mRecord.mMember.mService);
+  mChangedHosts.insert(aEntry.mRecord.mMember.mHost);
 }
 
 void MemberTable::MarkForPeers(MemberEntry& aEntry)
 {
-  if (!aEntry.mChangeHook.is_linked()) {
-    mChanges.push_back(aEntry);
+  if (!aEntry.mPeerChangeHook.is_linked()) {
+    mPeerChanges.push_back(aEntry);
   }
 }
 
-void MemberTable::CloseEvent(std::uint64_t aPeerVersion)
+void MemberTable::CommitChanges(std::uint64_t aPeerVersion)
 {
-  mVersion = std::max(mVersion + (mTouched.empty() ? 0 : 1), aPeerVersion);
-  for (ServiceId it : mTouched) {
+  mVersion =
+    std::max(mVersion + (mUncommittedServices.empty() ? 0 : 1), aPeerVersion);
+  for (ServiceId it : mUncommittedServices) {
     ServiceState& state = mServices[it];
     state.mVersion = mVersion;
     state.mView.reset();
@@ -79,7 +81,7 @@
       mChangedServices.push_back(it);
     }
   }
-  mTouched.clear();
+  mUncommittedServices.clear();
 }
 
 std::vector<ServiceId> MemberTable::TakeChangedServices()
@@ -110,17 +112,17 @@
   auto view = std::make_shared<MemberView>();
   view->mVersion = aState.mVersion;
   for (const auto& [host, entry] : aState.mEntries) {
-    // Who still holds a flow of a host that leaves must see that it left of its
-    // own will and handed all over: one that only vanished is held dead, and
-    // its flows are fenced.
-    bool leaves =
+    // A process that still holds a flow of a leaving host must see that the
+    // host left voluntarily and handed off its flows. A host that disappears
+    // from the view is considered dead, and its flows are fenced.
+    bool showsLeaving =
       mId == MemberTableId::Hosts && entry->mRecord.mVerdict != Verdict::Dead;
-    if (entry->IsGone() && !leaves) {
+    if (entry->IsGone() && !showsLeaving) {
       continue;
     }
     Member member = entry->mRecord.mMember;
-    std::uint32_t weight =
-      std::uint32_t{ member.mWeight } * entry->mStep / mOptions.mSlowStartSteps;
+    std::uint32_t weight = std::uint32_t{ member.mWeight } *
+                           entry->mSlowStartStep / mOptions.mSlowStartSteps;
     member.mWeight = static_cast<std::uint16_t>(std::max(1U, weight));
     view->mMembers.push_back(member);
     if (entry->mRecord.mVerdict == Verdict::Suspect) {
@@ -133,8 +135,8 @@
 MemberRecord MemberTable::Export(const MemberEntry& aEntry, Time aNow) const
 {
   MemberRecord record = aEntry.mRecord;
-  bool serves = record.mMember.mState == HostState::Serving;
-  record.mAge = serves ? aNow - aEntry.mServingSince : Duration{};
+  bool isServing = record.mMember.mState == HostState::Serving;
+  record.mAge = isServing ? aNow - aEntry.mServingSince : Duration{};
   return record;
 }
 
@@ -142,9 +144,9 @@
                                                    Time aNow)
 {
   std::vector<MemberRecord> out;
-  while (!mChanges.empty() && out.size() < aLimit) {
-    out.push_back(Export(mChanges.front(), aNow));
-    mChanges.pop_front();
+  while (!mPeerChanges.empty() && out.size() < aLimit) {
+    out.push_back(Export(mPeerChanges.front(), aNow));
+    mPeerChanges.pop_front();
   }
   return out;
 }
@@ -152,13 +154,13 @@
 std::vector<MemberRecord> MemberTable::TakeNews(Time aNow)
 {
   std::vector<MemberRecord> out;
-  for (HostId it : mNews) {
+  for (HostId it : mChangedHosts) {
     const MemberEntry* entry = Find(it);
     if (entry != nullptr) {
       out.push_back(Export(*entry, aNow));
     }
   }
-  mNews.clear();
+  mChangedHosts.clear();
   return out;
 }
 
@@ -176,15 +178,16 @@
   const MemberDigest& aPeer, std::size_t aLimit) const
 {
   std::size_t ranges = aPeer.mHashes.size();
-  std::vector<std::uint64_t> mine = HashRanges(mEntries, ranges);
+  std::vector<std::uint64_t> localHashes = HashRanges(mEntries, ranges);
   std::vector<MemberSnapshotRequest> out;
   for (std::size_t i = 0; i < ranges; ++i) {
-    if (mine[i] == aPeer.mHashes[i]) {
+    if (localHashes[i] == aPeer.mHashes[i]) {
       continue;
     }
     HostId first = FirstOf(i, ranges);
-    bool joins = !out.empty() && out.back().mLast.mValue + 1 == first.mValue;
-    if (joins) {
+    bool isAdjacent =
+      !out.empty() && out.back().mLast.mValue + 1 == first.mValue;
+    if (isAdjacent) {
       out.back().mLast = LastOf(i, ranges);
     } else if (out.size() < aLimit) {
       out.push_back({ mId, {}, first, LastOf(i, ranges), 0 });
@@ -199,7 +202,7 @@
                                      std::size_t aMaxRecords, Time aNow) const
 {
   std::size_t limit =
-    aRequest.mMaxRecords == 0 ? kDefaultRecords : aRequest.mMaxRecords;
+    aRequest.mMaxRecords == 0 ? kDefaultMaxRecords : aRequest.mMaxRecords;
   limit = std::max<std::size_t>(1, std::min(limit, aMaxRecords));
   MemberSnapshot out{ mId, {}, mVersion, aRequest.mFirst, aRequest.mLast, {} };
   auto it = mEntries.lower_bound(aRequest.mFirst);
@@ -248,7 +251,7 @@
   if (!state.mDigest) {
     state.mDigest = 0;
     for (const auto& [host, entry] : state.mEntries) {
-      *state.mDigest += HashInView(*entry);
+      *state.mDigest += HashIfInView(*entry);
     }
   }
   return *state.mDigest;
--- a/src/membership/MembershipActions.h
+++ b/src/membership/MembershipActions.h
@@ -10,7 +10,7 @@
 using MembershipMessage = std::variant<Heartbeat, MemberDelta, MemberDigest,
                                        MemberSnapshotRequest, MemberSnapshot>;
 
-/** Send a message to a control address; it may be lost. */
+/** A message to send to a control address; delivery is not guaranteed. */
 struct SendMembership
 {
   Address mTo;
--- a/src/membership/MessageSize.h
+++ b/src/membership/MessageSize.h
@@ -7,17 +7,17 @@
 
 namespace heatherplank {
 
-/** Bytes of a record in a message, and of a message around its records, as
- * encoded; what budgets are reckoned by. */
+/** Encoded bytes of one record, and of a message without its records. Byte
+ * budgets are charged by these estimates. */
 constexpr std::size_t kRecordBytes = 88;
 constexpr std::size_t kEnvelopeBytes = 96;
 
-inline std::size_t BytesOf(const MemberDelta& aDelta)
+inline std::size_t EncodedBytes(const MemberDelta& aDelta)
 {
   return kEnvelopeBytes + aDelta.mRecords.size() * kRecordBytes;
 }
 
-inline std::size_t BytesOf(const MemberDigest& aDigest)
+inline std::size_t EncodedBytes(const MemberDigest& aDigest)
 {
   return kEnvelopeBytes + aDigest.mHashes.size() * sizeof(std::uint64_t);
 }
--- a/src/membership/Monitors.cpp
+++ b/src/membership/Monitors.cpp
@@ -11,8 +11,8 @@
   return MixHash(aHost.mValue, aBalancer.mHost.mValue);
 }
 
-/** How many monitors come from the host's own data centre, and how many from
- * others. */
+/** How many monitors are in the host's data centre (near), and how many in
+ * others (far). */
 struct Quota
 {
   std::size_t mNear = 0;
@@ -21,13 +21,13 @@
 
 Quota QuotaOf(std::size_t aNear, std::size_t aFar, std::size_t aCount)
 {
-  std::size_t kept = aFar > 0 && aCount > 1 ? aCount - 1 : aCount;
-  std::size_t near = std::min(aNear, kept);
+  std::size_t maxNear = aFar > 0 && aCount > 1 ? aCount - 1 : aCount;
+  std::size_t near = std::min(aNear, maxNear);
   std::size_t far = std::min(aFar, aCount - near);
   return { std::min(aNear, aCount - far), far };
 }
 
-/** The best aCount of a list, which is reordered. */
+/** Returns the aCount members with the highest scores. Reorders the list. */
 std::span<const Member> Best(std::vector<Member>& aList, HostId aHost,
                              std::size_t aCount)
 {
@@ -45,7 +45,7 @@
   std::vector<Member> near;
   std::vector<Member> far;
   for (const Member& it : aBalancers) {
-    // A balancer is a host to the others, and can't judge its own silence.
+    // A balancer is monitored by others too, and can't monitor itself.
     if (it.mHost != aHost) {
       (it.mDataCentre == aDataCentre ? near : far).push_back(it);
     }
@@ -69,7 +69,7 @@
     return false;
   }
   bool isNear = self->mDataCentre == aDataCentre;
-  std::uint64_t mine = ScoreOf(aHost, *self);
+  std::uint64_t selfScore = ScoreOf(aHost, *self);
   std::size_t near = 0;
   std::size_t far = 0;
   std::size_t better = 0;
@@ -79,7 +79,7 @@
     }
     bool itIsNear = it.mDataCentre == aDataCentre;
     ++(itIsNear ? near : far);
-    better += itIsNear == isNear && ScoreOf(aHost, it) > mine ? 1 : 0;
+    better += itIsNear == isNear && ScoreOf(aHost, it) > selfScore ? 1 : 0;
   }
   Quota quota = QuotaOf(near, far, aCount);
   return better < (isNear ? quota.mNear : quota.mFar);
--- a/src/membership/Monitors.h
+++ b/src/membership/Monitors.h
@@ -9,40 +9,41 @@
 
 namespace heatherplank {
 
-/** How many balancers a host beats to, which are its monitors. Agents and
- * balancers must be given the same. */
+/** How many balancers monitor a host, that is, receive its heartbeats. Agents
+ * and balancers must use the same rule. */
 struct MonitorRule
 {
-  /** 0 for all balancers. */
+  /** Number of monitors per host; 0 for all balancers. */
   std::size_t mCount = 0;
-  /** Up to so many balancers all are monitors, whatever mCount says. */
+  /** With up to this many balancers, all are monitors regardless of mCount. */
   std::size_t mAllUpTo = 0;
 
-  bool AreAll(std::size_t aBalancers) const
+  bool IncludesAll(std::size_t aBalancers) const
   {
     return mCount == 0 || aBalancers <= mAllUpTo;
   }
   std::size_t CountOf(std::size_t aBalancers) const
   {
-    return AreAll(aBalancers) ? aBalancers : mCount;
+    return IncludesAll(aBalancers) ? aBalancers : mCount;
   }
 };
 
-/** The balancers that a host's agent sends heartbeats to, the highest by
- * rendezvous: one of another data centre, the others of its own; where either
- * has too few, more of the other. Agents and balancers choose the same from the
- * same list, and a balancer that comes or goes moves only its own share of
- * hosts. Thread safe.
+/** Returns the balancers that a host's agent sends heartbeats to, chosen by
+ * rendezvous hashing: one in another data centre, the others in the host's. If
+ * either has too few balancers, the other provides more. Agents and balancers
+ * make the same choice from the same list, and adding or removing a balancer
+ * changes the monitors of only its share of hosts. Thread safe.
  *
- * Failure met: a data centre is lost with its balancers and its hosts. Judged
- * by balancers of its own only, its hosts would stay in every view, since
- * nobody is left to miss them.
+ * Failure met: a data centre fails with its balancers and its hosts. If its
+ * hosts were monitored only by its balancers, no process would declare them
+ * dead, and they would stay in every view.
  */
 std::vector<Member> ChooseMonitors(HostId aHost, DataCentreId aDataCentre,
                                    std::span<const Member> aBalancers,
                                    std::size_t aCount);
 
-/** Whether aSelf is among ChooseMonitors, without making the list. */
+/** Returns whether ChooseMonitors would include aSelf, without building the
+ * list. */
 bool IsMonitor(HostId aSelf, HostId aHost, DataCentreId aDataCentre,
                std::span<const Member> aBalancers, std::size_t aCount);
 
--- a/src/membership/SpreadTree.cpp
+++ b/src/membership/SpreadTree.cpp
@@ -6,14 +6,14 @@
 
 void SpreadTree::SetBalancers(HostId aSelf, std::span<const Member> aBalancers)
 {
-  mOthers.clear();
+  mPeerAddresses.clear();
   mTrees.clear();
   for (const Member& it : aBalancers) {
     if (it.mHost != aSelf) {
-      mOthers.push_back(it.mControl);
+      mPeerAddresses.push_back(it.mControl);
     }
   }
-  mIsDirect = mOthers.size() <= kDirect;
+  mIsDirect = mPeerAddresses.size() <= kDirect;
   for (std::uint8_t i = 0; i < kTrees && !mIsDirect; ++i) {
     mTrees.push_back(MakeTree(i, aSelf, aBalancers));
   }
@@ -36,13 +36,13 @@
     for (std::size_t i = 1; i <= kFanOut; ++i) {
       std::size_t child = at * kFanOut + i;
       if (child < order.size()) {
-        tree.mNext.push_back(order[child]->mControl);
+        tree.mNextHops.push_back(order[child]->mControl);
       }
     }
   }
   bool isRoot = order.front()->mHost == aSelf;
-  tree.mFirst =
-    isRoot ? tree.mNext : std::vector<Address>{ order.front()->mControl };
+  tree.mFirstHops =
+    isRoot ? tree.mNextHops : std::vector<Address>{ order.front()->mControl };
   return tree;
 }
 
@@ -53,13 +53,14 @@
 
 const std::vector<Address>& SpreadTree::FirstHops(std::uint8_t aTree) const
 {
-  return mIsDirect || aTree >= mTrees.size() ? mOthers : mTrees[aTree].mFirst;
+  return mIsDirect || aTree >= mTrees.size() ? mPeerAddresses
+                                             : mTrees[aTree].mFirstHops;
 }
 
 const std::vector<Address>& SpreadTree::NextHops(std::uint8_t aTree) const
 {
   static const std::vector<Address> kNone;
-  return aTree >= mTrees.size() ? kNone : mTrees[aTree].mNext;
+  return aTree >= mTrees.size() ? kNone : mTrees[aTree].mNextHops;
 }
 
 } // namespace heatherplank
--- a/src/membership/SpreadTree.h
+++ b/src/membership/SpreadTree.h
@@ -10,42 +10,43 @@
 
 namespace heatherplank {
 
-/** How changes reach all balancers. Few balancers: each tells every other.
- * Many: a change goes to the root of one of several trees, chosen by its host,
- * and down from there, so that over all changes each balancer receives and
- * sends every record about once, and none is a hub. All make the same trees
- * from the same list; where lists differ a record may miss a balancer, which
- * the digest repairs. Not thread safe.
+/** Disseminates changes to all balancers. With few balancers, each sends its
+ * changes to every other. With many, a change is sent to the root of one of
+ * several trees, chosen by its host, and forwarded down from there: averaged
+ * over all changes, each balancer receives and sends every record about once,
+ * and none is a hub. All balancers build the same trees from the same list; if
+ * lists differ a record may not reach a balancer, which digests repair. Not
+ * thread safe.
  */
 class SpreadTree
 {
 public:
   static constexpr std::uint8_t kTrees = 16;
   static constexpr std::size_t kFanOut = 4;
-  /** Up to this many others are told directly. */
+  /** Changes are sent directly if there are at most this many others. */
   static constexpr std::size_t kDirect = 16;
 
-  /** Takes the list of balancers anew; aSelf may be among them. */
+  /** Replaces the list of balancers, which may contain aSelf. */
   void SetBalancers(HostId aSelf, std::span<const Member> aBalancers);
 
-  /** The tree of a host's changes; kNoTree if all are told directly. */
+  /** The tree for a host's changes; kNoTree if changes are sent directly. */
   std::uint8_t TreeOf(HostId aHost) const;
-  /** Where this balancer sends changes that it learned itself. */
+  /** Receivers of changes that this balancer originates. */
   const std::vector<Address>& FirstHops(std::uint8_t aTree) const;
-  /** Where it passes on what came to it by a tree. */
+  /** Receivers to which changes received along a tree are forwarded. */
   const std::vector<Address>& NextHops(std::uint8_t aTree) const;
 
 private:
   struct Tree
   {
-    std::vector<Address> mFirst;
-    std::vector<Address> mNext;
+    std::vector<Address> mFirstHops;
+    std::vector<Address> mNextHops;
   };
   Tree MakeTree(std::uint8_t aTree, HostId aSelf,
                 std::span<const Member> aBalancers) const;
 
   bool mIsDirect = true;
-  std::vector<Address> mOthers;
+  std::vector<Address> mPeerAddresses;
   std::vector<Tree> mTrees;
 };
 
--- a/tests/AgentMembershipTest.cpp
+++ b/tests/AgentMembershipTest.cpp
@@ -33,19 +33,19 @@
     return MembershipFleet::AddressOf(0);
   }
 
-  /** Where heartbeats went within aFor, by ticks of 50 ms. */
-  std::vector<Address> BeatsWithin(Duration aFor)
+  /** Runs the agent in ticks of 50 ms; returns the receivers of heartbeats. */
+  std::vector<Address> HeartbeatsSentDuring(Duration aDuration)
   {
     std::vector<Address> out;
-    for (Time end = mNow + aFor; mNow < end;) {
+    for (Time end = mNow + aDuration; mNow < end;) {
       mNow += 50ms;
       mAgent->OnTick(mNow);
-      TakeBeats(out);
+      TakeHeartbeats(out);
     }
     return out;
   }
 
-  void TakeBeats(std::vector<Address> & aOut)
+  void TakeHeartbeats(std::vector<Address> & aOut)
   {
     for (const SendMembership& it : mAgent->TakeActions()) {
       if (std::holds_alternative<Heartbeat>(it.mMessage)) {
@@ -54,80 +54,80 @@
     }
   }
 
-  /** A balancer answers the latest heartbeat. */
-  void Answer(std::uint32_t aBeat)
+  /** Delivers a balancer's answer to the heartbeat with the given number. */
+  void AnswerHeartbeat(std::uint32_t aNumber)
   {
     MemberDelta answer;
-    answer.mAnswersBeat = aBeat;
+    answer.mAnswersBeat = aNumber;
     mAgent->OnMessage(answer, mNow);
   }
 };
 
-// Everything lost power; the balancers of the settings are the last to be back.
-// An agent that beats to them twice a second leaves its host without flows for
-// up to half a second after they are there.
-TEST(AgentMembership, SeeksUntilABalancerAnswers)
+// After a power loss the seeds start last. If the agent sends them heartbeats
+// only twice a second, its host gets no flows for up to 0.5 s after they
+// started.
+TEST(AgentMembership, SendsFrequentHeartbeatsUntilABalancerAnswers)
 {
-  std::size_t seeking = BeatsWithin(1s).size();
-  CHECK_EQUAL(21, seeking);
-  Answer(21);
-  std::size_t found = BeatsWithin(2s).size();
-  CHECK_TRUE(found <= 5);
+  std::size_t sentBeforeAnswer = HeartbeatsSentDuring(1s).size();
+  CHECK_EQUAL(21, sentBeforeAnswer);
+  AnswerHeartbeat(21);
+  std::size_t sentAfterAnswer = HeartbeatsSentDuring(2s).size();
+  CHECK_TRUE(sentAfterAnswer <= 5);
 }
 
-// The seeds of the settings are gone for good. What an agent sends them must
-// not stay at twenty messages a second.
-TEST(AgentMembership, DoesNotSeekForEver)
+// The seeds are gone permanently. The agent must not continue to send them
+// twenty heartbeats per second.
+TEST(AgentMembership, StopsFrequentHeartbeatsAfterDiscoveryTimeout)
 {
-  BeatsWithin(5s);
-  std::size_t later = BeatsWithin(2s).size();
-  CHECK_TRUE(later <= 5);
+  HeartbeatsSentDuring(5s);
+  std::size_t sentAfterTimeout = HeartbeatsSentDuring(2s).size();
+  CHECK_TRUE(sentAfterTimeout <= 5);
 }
 
-// The directory names balancers while the seeds are silent. Their routes wait
-// for hosts, so they hear of this one at once.
-TEST(AgentMembership, GreetsWhatTheDirectoryNames)
+// The directory adds a balancer while the seeds are unresponsive. The balancer
+// can route to this host only after a heartbeat, so one must be sent at once.
+TEST(AgentMembership, SendsHeartbeatToNewSeedsAtOnce)
 {
-  std::vector<Address> beats;
-  TakeBeats(beats);
+  std::vector<Address> heartbeats;
+  TakeHeartbeats(heartbeats);
   Address found = MembershipFleet::AddressOf(7);
   mAgent->SetSeeds({ found, Seed() }, mNow);
-  beats.clear();
-  TakeBeats(beats);
-  CHECK_EQUAL(1, beats.size());
-  CHECK_TRUE(beats[0] == found);
+  heartbeats.clear();
+  TakeHeartbeats(heartbeats);
+  CHECK_EQUAL(1, heartbeats.size());
+  CHECK_TRUE(heartbeats[0] == found);
 }
 
-// A balancer joins while traffic runs. It routes to no host that it has not
-// heard of, so each agent beats to it as soon as it knows.
-TEST(AgentMembership, GreetsANewBalancer)
+// A balancer joins under traffic. It can route to a host only after a
+// heartbeat, so an agent must send one as soon as it learns of the balancer.
+TEST(AgentMembership, SendsHeartbeatToNewBalancerAtOnce)
 {
-  Answer(1);
-  std::vector<Address> beats;
-  TakeBeats(beats);
-  MemberDelta news;
-  news.mTable = MemberTableId::Balancers;
+  AnswerHeartbeat(1);
+  std::vector<Address> heartbeats;
+  TakeHeartbeats(heartbeats);
+  MemberDelta delta;
+  delta.mTable = MemberTableId::Balancers;
   MemberRecord record;
   record.mMember.mHost = MakeHostId("balancer");
   record.mMember.mService = BalancerService();
   record.mMember.mState = HostState::Serving;
   record.mMember.mIncarnation = 5;
   record.mMember.mControl = MembershipFleet::AddressOf(3);
-  news.mRecords = { record };
-  mAgent->OnMessage(news, mNow);
-  beats.clear();
-  TakeBeats(beats);
-  CHECK_EQUAL(1, std::ranges::count(beats, record.mMember.mControl));
-  mAgent->OnMessage(news, mNow);
-  beats.clear();
-  TakeBeats(beats);
-  CHECK_TRUE(beats.empty());
+  delta.mRecords = { record };
+  mAgent->OnMessage(delta, mNow);
+  heartbeats.clear();
+  TakeHeartbeats(heartbeats);
+  CHECK_EQUAL(1, std::ranges::count(heartbeats, record.mMember.mControl));
+  mAgent->OnMessage(delta, mNow);
+  heartbeats.clear();
+  TakeHeartbeats(heartbeats);
+  CHECK_TRUE(heartbeats.empty());
 }
 
-// All machines come back from a power loss at once, the one seed last. From
-// then on every balancer holds every host within a quarter of a second; the
-// half second of ordinary heartbeats was spent refusing callers.
-TEST(AgentMembership, AfterAMassLossAllAreFoundAtOnce)
+// All machines restart at once after a power loss, and the only seed starts
+// last. Every balancer must then know every host within 250 ms; waiting up to
+// 0.5 s for ordinary heartbeats would make the balancers refuse callers.
+TEST(AgentMembership, BalancersFindAllHostsSoonAfterPowerLoss)
 {
   MembershipFleet fleet(3, 5, 10, {}, 1, true, 1);
   auto seed = std::move(fleet.mBalancers.at(0));
--- a/tests/MemberTableTest.cpp
+++ b/tests/MemberTableTest.cpp
@@ -7,7 +7,7 @@
 
 namespace {
 
-class AllowAll final : public InventoryCheck
+class AllowAllButForbidden final : public InventoryCheck
 {
 public:
   bool Allows(const Member& aMember) const override
@@ -16,21 +16,22 @@
   }
 };
 
-const AllowAll kAllowAll;
+const AllowAllButForbidden kInventory;
 const ServiceId kService = MakeServiceId("agenda");
 
-Heartbeat Beat(int aHost, std::uint32_t aBeat, Incarnation aIncarnation = 1,
-               HostState aState = HostState::Serving)
+Heartbeat MakeHeartbeat(int aHost, std::uint32_t aNumber,
+                        Incarnation aIncarnation = 1,
+                        HostState aState = HostState::Serving)
 {
-  Heartbeat beat;
-  Member& member = beat.mRecord.mMember;
+  Heartbeat heartbeat;
+  Member& member = heartbeat.mRecord.mMember;
   member.mHost = MakeHostId("host-" + std::to_string(aHost));
   member.mService = kService;
   member.mIncarnation = aIncarnation;
   member.mState = aState;
-  beat.mRecord.mBeat = aBeat;
-  beat.mRecord.mAge = 1h;
-  return beat;
+  heartbeat.mRecord.mBeat = aNumber;
+  heartbeat.mRecord.mAge = 1h;
+  return heartbeat;
 }
 
 } // namespace
@@ -38,30 +39,30 @@
 TEST_GROUP(MemberTable)
 {
   ManualClock mClock;
-  MemberTable mTable{ MemberTableId::Hosts, kAllowAll };
+  MemberTable mTable{ MemberTableId::Hosts, kInventory };
 
   std::size_t InView()
   {
     return mTable.View(kService)->mMembers.size();
   }
 
-  /** Beats of hosts 0..aHosts-1 every 500 ms for a time. */
-  void Run(MemberTable & aTable, int aHosts, Duration aFor)
+  /** Delivers heartbeats of hosts 0..aHosts-1 every 500 ms. */
+  void Run(MemberTable & aTable, int aHosts, Duration aDuration)
   {
-    for (Duration t{}; t < aFor; t += 500ms) {
-      ++mBeat;
+    for (Duration t{}; t < aDuration; t += 500ms) {
+      ++mHeartbeatNumber;
       for (int i = 0; i < aHosts; ++i) {
-        aTable.OnHeartbeat(Beat(i, mBeat), mClock.Now());
+        aTable.OnHeartbeat(MakeHeartbeat(i, mHeartbeatNumber), mClock.Now());
       }
       aTable.OnTick(mClock.Now());
       mClock.Advance(500ms);
     }
   }
 
-  std::uint32_t mBeat = 0;
+  std::uint32_t mHeartbeatNumber = 0;
 };
 
-TEST(MemberTable, ASilentHostIsSuspectedThenDeadAndComesBack)
+TEST(MemberTable, UnresponsiveHostIsSuspectedDeclaredDeadAndReturns)
 {
   Run(mTable, 10, 2s);
   CHECK_EQUAL(10, InView());
@@ -74,34 +75,34 @@
   CHECK_EQUAL(10, InView());
 }
 
-// A host that has just started takes its share in steps; one whose table was
-// told to leave slow start to others shows its full weight, cold or not.
-TEST(MemberTable, WeightGrowsWithAgeUnlessSwitchedOff)
+// The weight of a host that has just started grows in steps. In a table without
+// slow start a host has its full weight from the start, also in state Cold.
+TEST(MemberTable, WeightGrowsWithAgeUnlessSlowStartIsDisabled)
 {
-  MemberTableOptions off;
-  off.mSlowStart = {};
-  MemberTable flat(MemberTableId::Hosts, kAllowAll, off);
-  Heartbeat cold = Beat(1, 1, 1, HostState::Cold);
+  MemberTableOptions noSlowStart;
+  noSlowStart.mSlowStart = {};
+  MemberTable withoutSlowStart(MemberTableId::Hosts, kInventory, noSlowStart);
+  Heartbeat cold = MakeHeartbeat(1, 1, 1, HostState::Cold);
   mTable.OnHeartbeat(cold, mClock.Now());
-  flat.OnHeartbeat(cold, mClock.Now());
+  withoutSlowStart.OnHeartbeat(cold, mClock.Now());
   CHECK_EQUAL(20, mTable.View(kService)->mMembers[0].mWeight);
-  CHECK_EQUAL(100, flat.View(kService)->mMembers[0].mWeight);
-  Heartbeat warm = Beat(1, 2);
+  CHECK_EQUAL(100, withoutSlowStart.View(kService)->mMembers[0].mWeight);
+  Heartbeat warm = MakeHeartbeat(1, 2);
   warm.mRecord.mAge = {};
   mTable.OnHeartbeat(warm, mClock.Now());
   std::uint64_t version = mTable.View(kService)->mVersion;
   mClock.Advance(5s);
-  mTable.OnHeartbeat(Beat(1, 3), mClock.Now());
+  mTable.OnHeartbeat(MakeHeartbeat(1, 3), mClock.Now());
   mTable.OnTick(mClock.Now());
   CHECK_EQUAL(60, mTable.View(kService)->mMembers[0].mWeight);
   CHECK_TRUE(mTable.View(kService)->mVersion > version);
 }
 
-// Many balancers die at once, and each that is left becomes the monitor of
-// hosts that beat to the dead ones, and to it only by chance. Until they learn
-// of it their silence means nothing: counted, it would make every balancer that
-// lives hold itself for cut off, just as callers need it.
-TEST(MemberTable, WhoIsJudgedAnewIsNotMissedYet)
+// Many balancers die at once, and the remaining ones become monitors of hosts
+// that sent heartbeats to the dead ones, and to it only by chance. Until those
+// hosts know their new monitors, missing heartbeats must not count; otherwise
+// every remaining balancer considers itself isolated while callers need it.
+TEST(MemberTable, NewlyMonitoredHostsHaveAGracePeriod)
 {
   mTable.SetMonitored([](const Member&) { return false; }, mClock.Now());
   Run(mTable, 3, 1s);
@@ -117,25 +118,26 @@
   CHECK_EQUAL(3, mTable.Judged());
 }
 
-TEST(MemberTable, RefusesWhatTheInventoryDoesNotGive)
+TEST(MemberTable, RejectsServiceThatInventoryDoesNotAllow)
 {
-  Heartbeat beat = Beat(1, 1);
-  beat.mRecord.mMember.mService = MakeServiceId("forbidden");
-  CHECK_FALSE(mTable.OnHeartbeat(beat, mClock.Now()));
+  Heartbeat heartbeat = MakeHeartbeat(1, 1);
+  heartbeat.mRecord.mMember.mService = MakeServiceId("forbidden");
+  CHECK_FALSE(mTable.OnHeartbeat(heartbeat, mClock.Now()));
   CHECK_EQUAL(1, mTable.Count(MemberEvent::RefusedByInventory));
 }
 
-// The cable of one balancer is pulled, or it is frozen for ten seconds. It
-// hears nobody; without the cap it would answer every caller "no host".
-TEST(MemberTable, ACutOffBalancerKeepsItsLastView)
+// A balancer loses its network or is stalled for ten seconds, and receives no
+// heartbeats. Without the cap on deaths its view becomes empty, and it answers
+// every caller "no host".
+TEST(MemberTable, IsolatedBalancerKeepsItsLastView)
 {
-  for (bool guard : { false, true }) {
+  for (bool capDeaths : { false, true }) {
     MemberTableOptions options;
-    options.mCapDeaths = guard;
-    MemberTable table(MemberTableId::Hosts, kAllowAll, options);
+    options.mCapDeaths = capDeaths;
+    MemberTable table(MemberTableId::Hosts, kInventory, options);
     Run(table, 10, 2s);
     Run(table, 0, 10s);
-    CHECK_EQUAL(guard ? 10 : 0, table.View(kService)->mMembers.size());
-    CHECK_EQUAL(guard, table.IsIsolated());
+    CHECK_EQUAL(capDeaths ? 10 : 0, table.View(kService)->mMembers.size());
+    CHECK_EQUAL(capDeaths, table.IsIsolated());
   }
 }
--- a/tests/MembershipFleet.h
+++ b/tests/MembershipFleet.h
@@ -16,8 +16,9 @@
 
 namespace heatherplank {
 
-/** Balancers and agents on a paused clock, over a network that loses, doubles
- * and reorders messages by seed. All hosts are of one service. */
+/** Simulates balancers and agents on a manual clock, over a network that loses,
+ * duplicates and reorders messages as determined by a seed. All hosts belong to
+ * one service. */
 class MembershipFleet
 {
 public:
@@ -25,7 +26,7 @@
   {
     /** In percent. */
     int mLost = 0;
-    int mDoubled = 0;
+    int mDuplicated = 0;
     int mMaxDelayMs = 3;
   };
 
@@ -69,7 +70,8 @@
     return address;
   }
 
-  /** What the clock says when the next process starts. */
+  /** Sets the incarnation of the next process to start; later processes count
+   * up from it. */
   void SetNextIncarnation(Incarnation aNext) { mNextIncarnation = aNext; }
 
   void AddBalancer(int aIndex)
@@ -96,34 +98,34 @@
     mAgents[aIndex]->SetState(HostState::Serving, mNow);
   }
 
-  /** Processes are dealt out to the data centres in turn. */
+  /** Processes are assigned to the data centres round robin. */
   DataCentreId DataCentreOf(int aIndex) const
   {
     return MakeDataCentreId("dc-" + std::to_string(aIndex % mDataCentres));
   }
 
-  /** Moves the clock by steps of 50 ms. */
-  void Run(Duration aFor)
+  /** Runs all processes that are not stalled, in steps of 50 ms. */
+  void Run(Duration aDuration)
   {
-    for (Time end = mNow + aFor; mNow < end;) {
+    for (Time end = mNow + aDuration; mNow < end;) {
       mNow += std::chrono::milliseconds(50);
       for (auto& [index, it] : mBalancers) {
-        if (!mFrozen.contains(index)) {
+        if (!mStalled.contains(index)) {
           it->OnTick(mNow);
-          Post(index, it->TakeActions());
+          SendAll(index, it->TakeActions());
         }
       }
       for (auto& [index, it] : mAgents) {
-        if (!mFrozen.contains(kAgentPorts + index)) {
+        if (!mStalled.contains(kAgentPorts + index)) {
           it->OnTick(mNow);
-          Post(kAgentPorts + index, it->TakeActions());
+          SendAll(kAgentPorts + index, it->TakeActions());
         }
       }
       Deliver();
     }
   }
 
-  /** The members in a balancer's view that have not left, in order. */
+  /** Returns the hosts in a balancer's view that are not Leaving, in order. */
   std::vector<HostId> ViewAt(int aBalancer)
   {
     std::vector<HostId> out;
@@ -136,22 +138,22 @@
     return out;
   }
 
-  /** Members in a balancer's view that are shown as having left. */
+  /** Returns the number of hosts in a balancer's view that are Leaving. */
   std::size_t LeavingAt(int aBalancer)
   {
     auto view = mBalancers.at(aBalancer)->Hosts().View(Service());
-    return view->mMembers.size() - CountStaying(*view);
+    return view->mMembers.size() - CountNotLeaving(*view);
   }
 
-  static std::size_t CountStaying(const MemberView& aView)
+  static std::size_t CountNotLeaving(const MemberView& aView)
   {
     return static_cast<std::size_t>(std::count_if(
       aView.mMembers.begin(), aView.mMembers.end(),
       [](const Member& aIt) { return aIt.mState != HostState::Leaving; }));
   }
 
-  /** True if all balancers and agents hold the same members. */
-  bool Agrees(std::size_t aMembers)
+  /** Returns true if all processes hold the same aMembers members. */
+  bool HasConverged(std::size_t aMembers)
   {
     std::uint64_t digest =
       mBalancers.begin()->second->Hosts().ServiceDigest(Service());
@@ -161,7 +163,7 @@
              it->Hosts().Size() == aMembers;
     }
     for (auto& [index, it] : mAgents) {
-      same = same && CountStaying(*it->Peers()) == aMembers;
+      same = same && CountNotLeaving(*it->Peers()) == aMembers;
     }
     return same;
   }
@@ -169,10 +171,10 @@
   Network mNetwork;
   std::map<int, std::unique_ptr<BalancerMembership>> mBalancers;
   std::map<int, std::unique_ptr<AgentMembership>> mAgents;
-  /** Ports whose process is frozen: messages wait for it. */
-  std::set<int> mFrozen;
-  /** Pairs of ports that do not reach each other. */
-  std::set<std::pair<int, int>> mCut;
+  /** Ports whose process is stalled: messages to it are delivered later. */
+  std::set<int> mStalled;
+  /** Pairs of ports between which all messages are dropped. */
+  std::set<std::pair<int, int>> mBlockedLinks;
   std::uint64_t mBytes = 0;
   Time mNow = Time{} + std::chrono::hours(1);
   std::mt19937_64 mRandom;
@@ -190,59 +192,60 @@
     }
   };
 
-  void Post(int aFrom, const std::vector<SendMembership>& aActions)
+  void SendAll(int aFrom, const std::vector<SendMembership>& aActions)
   {
     for (const SendMembership& it : aActions) {
       mBytes += std::visit(
         [](const auto& aMessage) { return EncodePayload(aMessage).size(); },
         it.mMessage);
       int to = it.mTo.mPort - 1;
-      int copies = Chance(mNetwork.mDoubled) ? 2 : 1;
-      bool cut = mCut.contains({ aFrom, to }) || mCut.contains({ to, aFrom });
-      for (; copies > 0 && !cut; --copies) {
+      int copies = HappensWithPercent(mNetwork.mDuplicated) ? 2 : 1;
+      bool blocked = mBlockedLinks.contains({ aFrom, to }) ||
+                     mBlockedLinks.contains({ to, aFrom });
+      for (; copies > 0 && !blocked; --copies) {
         auto delay = std::chrono::milliseconds(
           mRandom() % static_cast<unsigned>(mNetwork.mMaxDelayMs));
-        if (!Chance(mNetwork.mLost)) {
-          mPost.push({ mNow + delay, mOrder++, to, it.mMessage });
+        if (!HappensWithPercent(mNetwork.mLost)) {
+          mInFlight.push({ mNow + delay, mOrder++, to, it.mMessage });
         }
       }
     }
   }
 
-  bool Chance(int aPercent)
+  bool HappensWithPercent(int aPercent)
   {
     return static_cast<int>(mRandom() % 100) < aPercent;
   }
 
   void Deliver()
   {
-    std::vector<Envelope> held;
-    while (!mPost.empty() && mPost.top().mAt <= mNow) {
-      Envelope next = mPost.top();
-      mPost.pop();
-      if (mFrozen.contains(next.mTo)) {
-        held.push_back(next);
+    std::vector<Envelope> deferred;
+    while (!mInFlight.empty() && mInFlight.top().mAt <= mNow) {
+      Envelope next = mInFlight.top();
+      mInFlight.pop();
+      if (mStalled.contains(next.mTo)) {
+        deferred.push_back(next);
       } else {
-        Hand(next);
+        Dispatch(next);
       }
     }
-    for (Envelope& it : held) {
-      mPost.push(std::move(it));
+    for (Envelope& it : deferred) {
+      mInFlight.push(std::move(it));
     }
   }
 
-  void Hand(const Envelope& aNext)
+  void Dispatch(const Envelope& aNext)
   {
     auto balancer = mBalancers.find(aNext.mTo);
     if (balancer != mBalancers.end()) {
       balancer->second->OnMessage(aNext.mMessage, mNow);
-      Post(aNext.mTo, balancer->second->TakeActions());
+      SendAll(aNext.mTo, balancer->second->TakeActions());
       return;
     }
     auto agent = mAgents.find(aNext.mTo - kAgentPorts);
     if (agent != mAgents.end()) {
       agent->second->OnMessage(aNext.mMessage, mNow);
-      Post(aNext.mTo, agent->second->TakeActions());
+      SendAll(aNext.mTo, agent->second->TakeActions());
     }
   }
 
@@ -252,7 +255,8 @@
   const int mDataCentres;
   Incarnation mNextIncarnation = 1;
   std::uint64_t mOrder = 0;
-  std::priority_queue<Envelope, std::vector<Envelope>, std::greater<>> mPost;
+  std::priority_queue<Envelope, std::vector<Envelope>, std::greater<>>
+    mInFlight;
 };
 
 } // namespace heatherplank
--- a/tests/MembershipTest.cpp
+++ b/tests/MembershipTest.cpp
@@ -9,11 +9,11 @@
 
 TEST_GROUP(Membership){};
 
-// A network that loses a fifth of all messages, doubles some and delays others
-// past their successors, while hosts restart, drain and leave. Once it is calm,
-// every balancer and agent must hold the same members, or flows are handed to
-// hosts that left for as long as the difference lasts.
-TEST(Membership, ConvergesAfterLossDoublingAndReordering)
+// The network loses a fifth of all messages, duplicates some and reorders
+// others, while hosts restart, drain and leave. Once the network works again,
+// every balancer and agent must hold the same members; otherwise flows are
+// handed off to hosts that left.
+TEST(Membership, ConvergesAfterLossDuplicationAndReordering)
 {
   for (std::uint64_t seed = 1; seed <= 40; ++seed) {
     BalancerMembershipOptions options;
@@ -40,17 +40,18 @@
     fleet.mAgents.erase(3);
     fleet.mNetwork = {};
     fleet.Run(40s);
-    CHECK_TRUE(fleet.Agrees(11));
+    CHECK_TRUE(fleet.HasConverged(11));
   }
 }
 
-// One balancer can't hear a host that the others hear. It suspects it; their
-// newer evidence refutes that each time, and no view ever drops the host.
-TEST(Membership, WhoHearsAHostRefutesWhoDoesNot)
+// One balancer receives no heartbeats from a host that the others can reach,
+// and suspects it. Their later heartbeats must refute each suspicion, and no
+// view may drop the host.
+TEST(Membership, ReachableBalancersRefuteFalseSuspicion)
 {
   MembershipFleet fleet(1, 3, 6);
   fleet.Run(5s);
-  fleet.mCut.insert({ 0, MembershipFleet::kAgentPorts });
+  fleet.mBlockedLinks.insert({ 0, MembershipFleet::kAgentPorts });
   for (int i = 0; i < 200; ++i) {
     fleet.Run(100ms);
     CHECK_EQUAL(6, fleet.ViewAt(0).size());
@@ -59,22 +60,21 @@
   CHECK_TRUE(fleet.mBalancers[1]->Hosts().Count(MemberEvent::Refuted) > 0);
 }
 
-// Two data centres lose each other: each side's balancers and agents hear only
-// their own. The smaller side's view must not shrink to nothing, and after the
-// cut both sides must hold everybody again.
-TEST(Membership, ACutBetweenDataCentresHeals)
+// A network partition separates two data centres. The smaller side's view must
+// not become empty, and after the partition both sides must hold all members.
+TEST(Membership, ConvergesAfterDataCentrePartitionHeals)
 {
   MembershipFleet fleet(1, 4, 12);
   fleet.Run(5s);
-  auto far = [](int aPort) { return aPort % 4 == 0; };
+  auto isSmallerSide = [](int aPort) { return aPort % 4 == 0; };
   std::vector<int> ports{ 0, 1, 2, 3 };
   for (int i = 0; i < 12; ++i) {
     ports.push_back(MembershipFleet::kAgentPorts + i);
   }
   for (int from : ports) {
     for (int to : ports) {
-      if (far(from) != far(to)) {
-        fleet.mCut.insert({ from, to });
+      if (isSmallerSide(from) != isSmallerSide(to)) {
+        fleet.mBlockedLinks.insert({ from, to });
       }
     }
   }
@@ -82,24 +82,24 @@
   CHECK_EQUAL(12, fleet.ViewAt(0).size());
   CHECK_TRUE(fleet.mBalancers[0]->Readiness() == MembershipReadiness::Isolated);
   CHECK_EQUAL(9, fleet.ViewAt(1).size());
-  fleet.mCut.clear();
+  fleet.mBlockedLinks.clear();
   fleet.Run(5s);
-  CHECK_TRUE(fleet.Agrees(12));
+  CHECK_TRUE(fleet.HasConverged(12));
 }
 
-// A host freezes for ten seconds and wakes. It must leave the view while it
-// answers nothing, and come back by its own heartbeat. Then it leaves; a record
-// of its life that was long on its way must not revive it.
-TEST(Membership, AFrozenHostComesBackAndOneThatLeftDoesNot)
+// A host is stalled for ten seconds. It must be removed from the view meanwhile
+// and return with its next heartbeat. It then leaves, and a delayed record of
+// the serving host must not add it again.
+TEST(Membership, StalledHostReturnsAndStaleRecordDoesNotReviveLeftHost)
 {
   MembershipFleet fleet(1, 3, 6);
   fleet.Run(5s);
-  fleet.mFrozen.insert(MembershipFleet::kAgentPorts);
+  fleet.mStalled.insert(MembershipFleet::kAgentPorts);
   fleet.Run(10s);
   CHECK_EQUAL(5, fleet.ViewAt(1).size());
-  fleet.mFrozen.clear();
+  fleet.mStalled.clear();
   fleet.Run(2s);
-  CHECK_TRUE(fleet.Agrees(6));
+  CHECK_TRUE(fleet.HasConverged(6));
 
   MemberDelta stale =
     fleet.mBalancers[0]->Hosts().ServiceDelta(fleet.Service(), fleet.mNow);
@@ -113,22 +113,24 @@
   CHECK_EQUAL(1, fleet.LeavingAt(1));
 }
 
-// A VM is replaced at once by one of the same name and address, whose clock is
-// behind. The new life must take the old one's place, not be refused as stale.
-TEST(Membership, ARestartWithAnOlderClockTakesOver)
+// A VM is replaced by one with the same name and address, whose clock is
+// behind. The new incarnation must replace the old one, and not be rejected as
+// stale.
+TEST(Membership, HostRestartedWithEarlierClockTakesOver)
 {
   MembershipFleet fleet(1, 3, 6);
   fleet.mAgents[0]->Restart(1000000, fleet.mNow);
   fleet.Run(5s);
   fleet.AddAgent(0);
   fleet.Run(5s);
-  CHECK_TRUE(fleet.Agrees(6));
+  CHECK_TRUE(fleet.HasConverged(6));
   CHECK_TRUE(fleet.mAgents[0]->Self().mIncarnation > 1000000);
 }
 
-// The same of a balancer: held for its own older life, it would be dropped by
-// the others, hear of no change and route by a view that grows old.
-TEST(Membership, ABalancerWithAnOlderClockTakesOver)
+// A balancer is replaced by one whose clock is behind. If its incarnation
+// counts as stale, the others drop it, and it receives no changes and routes by
+// an outdated view.
+TEST(Membership, BalancerRestartedWithEarlierClockTakesOver)
 {
   MembershipFleet fleet(1, 3, 6);
   fleet.SetNextIncarnation(1000000);
@@ -142,9 +144,9 @@
   CHECK_EQUAL(6, fleet.ViewAt(2).size());
 }
 
-// The peer that gives a new balancer its snapshot dies half-way. The new one
-// must go on with the next peer, and not call itself ready with half a view.
-TEST(Membership, ASnapshotOutlivesThePeerThatGaveIt)
+// The peer that sends a snapshot to a new balancer dies half-way. The new
+// balancer must continue with the next peer, and not be ready with half a view.
+TEST(Membership, SnapshotResumesFromNextPeerWhenSenderDies)
 {
   BalancerMembershipOptions options;
   options.mChunkRecords = 8;
@@ -155,19 +157,19 @@
   fleet.mNetwork.mMaxDelayMs = 200;
   fleet.Run(300ms);
   fleet.mBalancers.erase(0);
-  bool early = false;
+  bool readyTooEarly = false;
   for (int i = 0; i < 200; ++i) {
     fleet.Run(50ms);
     bool ready = fleet.mBalancers[2]->Readiness() == MembershipReadiness::Ready;
-    early = early || (ready && fleet.ViewAt(2).size() < 100);
+    readyTooEarly = readyTooEarly || (ready && fleet.ViewAt(2).size() < 100);
   }
-  CHECK_FALSE(early);
+  CHECK_FALSE(readyTooEarly);
   CHECK_EQUAL(100, fleet.ViewAt(2).size());
   CHECK_TRUE(fleet.mBalancers[2]->Readiness() == MembershipReadiness::Ready);
 }
 
-// Changes among many balancers go down trees; each must come everywhere, and
-// no balancer may send much more than its share.
+// With many balancers, changes are forwarded along trees. Each tree must reach
+// every balancer exactly once.
 TEST(Membership, TreesReachEveryBalancerOnce)
 {
   std::vector<Member> balancers(200);
@@ -180,19 +182,19 @@
     trees[i].SetBalancers(balancers[i].mHost, balancers);
   }
   for (std::uint8_t tree = 0; tree < SpreadTree::kTrees; ++tree) {
-    std::vector<int> got(200, 0);
-    std::queue<Address> onward;
+    std::vector<int> received(200, 0);
+    std::queue<Address> pending;
     for (const Address& it : trees[17].FirstHops(tree)) {
-      onward.push(it);
+      pending.push(it);
     }
-    for (; !onward.empty(); onward.pop()) {
-      int at = onward.front().mPort - 1;
-      ++got[at];
+    for (; !pending.empty(); pending.pop()) {
+      int at = pending.front().mPort - 1;
+      ++received[at];
       for (const Address& it : trees[at].NextHops(tree)) {
-        onward.push(it);
+        pending.push(it);
       }
     }
-    got[17] = 1;
-    CHECK_TRUE(std::ranges::all_of(got, [](int n) { return n == 1; }));
+    received[17] = 1;
+    CHECK_TRUE(std::ranges::all_of(received, [](int n) { return n == 1; }));
   }
 }
--- a/tests/MonitorsTest.cpp
+++ b/tests/MonitorsTest.cpp
@@ -37,34 +37,36 @@
 }
 ;
 
-TEST(Monitors, OneIsElsewhereWhereThereIsAnElsewhere)
+TEST(Monitors, OneMonitorIsInAnotherDataCentreIfThereIsOne)
 {
   HostId host = MakeHostId("host");
-  auto spread = ChooseMonitors(host, DataCentre(1), Balancers(30, 3), 3);
-  CHECK_EQUAL(3, spread.size());
-  CHECK_EQUAL(2, CountIn(spread, 1));
-  auto single = ChooseMonitors(host, DataCentre(0), Balancers(30, 1), 3);
-  CHECK_EQUAL(3, CountIn(single, 0));
+  auto threeDataCentres =
+    ChooseMonitors(host, DataCentre(1), Balancers(30, 3), 3);
+  CHECK_EQUAL(3, threeDataCentres.size());
+  CHECK_EQUAL(2, CountIn(threeDataCentres, 1));
+  auto oneDataCentre = ChooseMonitors(host, DataCentre(0), Balancers(30, 1), 3);
+  CHECK_EQUAL(3, CountIn(oneDataCentre, 0));
 }
 
-// A data centre with a single balancer, or with none: its hosts need as many
-// monitors as others.
-TEST(Monitors, TooFewNearAreMadeUpFromElsewhere)
+// Hosts in a data centre with one balancer or none must have as many monitors
+// as other hosts.
+TEST(Monitors, OtherDataCentresFillMissingLocalMonitors)
 {
   HostId host = MakeHostId("host");
   auto balancers = Balancers(30, 3);
   balancers.push_back({});
   balancers.back().mHost = MakeHostId("alone");
   balancers.back().mDataCentre = DataCentre(7);
-  auto one = ChooseMonitors(host, DataCentre(7), balancers, 3);
-  CHECK_EQUAL(3, one.size());
-  CHECK_EQUAL(1, CountIn(one, 7));
+  auto monitors = ChooseMonitors(host, DataCentre(7), balancers, 3);
+  CHECK_EQUAL(3, monitors.size());
+  CHECK_EQUAL(1, CountIn(monitors, 7));
   CHECK_EQUAL(3, ChooseMonitors(host, DataCentre(9), balancers, 3).size());
 }
 
-// A balancer that judges a host which does not beat to it would hold it for
-// dead, and one that does not judge a host that beats to it never misses it.
-TEST(Monitors, BalancersAndAgentsChooseTheSame)
+// If a balancer monitors a host that sends it no heartbeats, it declares the
+// host dead. If it doesn't monitor a host that does, it never detects that
+// host's failure.
+TEST(Monitors, BalancersAndAgentsChooseTheSameMonitors)
 {
   for (int dataCentres = 1; dataCentres <= 5; ++dataCentres) {
     auto balancers = Balancers(17, dataCentres);
@@ -82,10 +84,10 @@
   }
 }
 
-// A data centre burns down: its balancers and its hosts fall silent at once.
-// With all monitors of its hosts among its own balancers nobody misses them,
-// and callers are sent to dead hosts for as long as the outage lasts.
-TEST(Monitors, HostsOfALostDataCentreLeaveTheView)
+// A data centre fails with its balancers and its hosts. If all monitors of its
+// hosts were in it, no process would declare the hosts dead, and callers would
+// be routed to them for the whole outage.
+TEST(Monitors, HostsOfLostDataCentreAreRemovedFromView)
 {
   constexpr int kAgents = 30;
   constexpr int kBalancers = 12;
@@ -95,18 +97,18 @@
   fleet.Run(10s);
   CHECK_EQUAL(kAgents, fleet.ViewAt(1).size());
   for (int i = 0; i < kBalancers; i += 3) {
-    fleet.mFrozen.insert(i);
+    fleet.mStalled.insert(i);
   }
   for (int i = 0; i < kAgents; i += 3) {
-    fleet.mFrozen.insert(MembershipFleet::kAgentPorts + i);
+    fleet.mStalled.insert(MembershipFleet::kAgentPorts + i);
   }
   fleet.Run(12s);
   CHECK_EQUAL(2 * kAgents / 3, fleet.ViewAt(1).size());
 }
 
-// Balancers come and go across the number up to which all of them are monitors,
-// and the two sides see it at different moments. Nobody alive may be dropped.
-TEST(Monitors, CrossingTheNumberOfAllDropsNobody)
+// The number of balancers crosses mAllUpTo repeatedly, and agents and balancers
+// notice it at different times. No live host may be dropped.
+TEST(Monitors, CrossingAllMonitorsThresholdKeepsLiveHosts)
 {
   BalancerMembershipOptions options;
   options.mMonitors = { .mCount = 3, .mAllUpTo = 6 };
@@ -126,11 +128,11 @@
   }
 }
 
-// Forty balancers start one after the other, each with three seeds; for seconds
-// their lists differ, and so does who is whose monitor. A host that all the
-// while beats to its monitors must leave no balancer's view, or its open flows
-// are not found there.
-TEST(Monitors, UnequalListsDropNobodyAlive)
+// Forty balancers start one after another, each with three seeds. For some
+// seconds their lists differ, and so do the monitors that they choose. A host
+// that sends heartbeats to its monitors must not be dropped from any balancer's
+// view, or its open flows are not found there.
+TEST(Monitors, DifferingBalancerListsKeepLiveHosts)
 {
   constexpr int kBalancers = 40;
   constexpr int kAgents = 120;
@@ -144,13 +146,13 @@
       fleet.AddBalancer(i);
       fleet.Run(100ms);
     }
-    std::map<int, std::set<HostId>> known;
+    std::map<int, std::set<HostId>> previousViews;
     for (int i = 0; i < 400; ++i) {
       fleet.Run(100ms);
       for (int balancer = 0; balancer < kBalancers; ++balancer) {
         auto view = fleet.ViewAt(balancer);
         std::set<HostId> now(view.begin(), view.end());
-        auto& before = known[balancer];
+        auto& before = previousViews[balancer];
         dropped += static_cast<int>(std::ranges::count_if(
           before, [&](HostId aIt) { return !now.contains(aIt); }));
         before = std::move(now);
@@ -160,26 +162,26 @@
   CHECK_EQUAL(0, dropped);
 }
 
-// Agents of opaque flows read no peers. Sent them all the same, each would pay
-// for each change of its service.
-TEST(Monitors, WhoWantsNoPeersIsSentNone)
+// Agents of opaque flows don't use peers. If balancers sent them peers anyway,
+// each change of the service would cost every agent a message.
+TEST(Monitors, AgentsWithoutPeersReceiveNone)
 {
-  MembershipFleet with(1, 3, 40);
-  MembershipFleet without(1, 3, 40, {}, 1, false);
-  with.Run(10s);
-  without.Run(10s);
-  CHECK_EQUAL(40, with.mAgents[0]->Peers()->mMembers.size());
-  CHECK_EQUAL(1, without.mAgents[0]->Peers()->mMembers.size());
-  CHECK_EQUAL(3, without.mAgents[0]->Balancers()->mMembers.size());
-  CHECK_EQUAL(40, without.ViewAt(0).size());
-  CHECK_TRUE(without.mBytes < with.mBytes);
+  MembershipFleet withPeers(1, 3, 40);
+  MembershipFleet withoutPeers(1, 3, 40, {}, 1, false);
+  withPeers.Run(10s);
+  withoutPeers.Run(10s);
+  CHECK_EQUAL(40, withPeers.mAgents[0]->Peers()->mMembers.size());
+  CHECK_EQUAL(1, withoutPeers.mAgents[0]->Peers()->mMembers.size());
+  CHECK_EQUAL(3, withoutPeers.mAgents[0]->Balancers()->mMembers.size());
+  CHECK_EQUAL(40, withoutPeers.ViewAt(0).size());
+  CHECK_TRUE(withoutPeers.mBytes < withPeers.mBytes);
 }
 
-// The clock of a machine steps back and its agent is killed: the new process
-// has an older incarnation than the one that all balancers hold, so its
-// heartbeats count as stale and its host stays out of view. It must be told,
-// also where it is sent no members of its service.
-TEST(Monitors, AnOlderIncarnationIsToldOfTheNewer)
+// A VM's clock steps back and its agent is killed. The new process has an older
+// incarnation than the one that all balancers hold, so its heartbeats count as
+// stale and its host stays out of view. The agent must be notified of the newer
+// incarnation, even if it receives no members of its service.
+TEST(Monitors, OlderIncarnationIsNotifiedOfNewerOne)
 {
   MembershipFleet fleet(1, 3, 6, {}, 1, false);
   fleet.mAgents[0]->Restart(1000000, fleet.mNow);
