--- a/src/membership/ByteBudget.h
+++ b/src/membership/ByteBudget.h
@@ -20,8 +20,7 @@
   {
   }
 
-  /** Refills the bucket and returns the number of bytes that may be sent now.
-   */
+  /** Refills the bucket; returns the bytes that may be sent now. */
   std::size_t Available(Time aNow)
   {
     double refill = std::chrono::duration<double>(aNow - mAt).count() * mRate;
--- a/src/membership/MemberRecord.h
+++ b/src/membership/MemberRecord.h
@@ -15,7 +15,7 @@
   Alive = 0,
   /** Heartbeats are missing; still in the view, and may be refuted. */
   Suspect = 1,
-  /** Out of the view until newer evidence comes. */
+  /** Not in the view until a newer record arrives. */
   Dead = 2,
 };
 
@@ -43,8 +43,7 @@
   std::uint32_t mBeat = 0;
   /** The conclusion drawn from missing heartbeats after mBeat. */
   Verdict mVerdict = Verdict::Alive;
-  /** How long the host had served when the record was sent, by its own clock.
-   */
+  /** How long the host had served at sending, by its own clock. */
   Duration mAge{};
 
   bool operator==(const MemberRecord&) const = default;
--- a/src/membership/MemberTable.h
+++ b/src/membership/MemberTable.h
@@ -62,10 +62,9 @@
   Duration mSuspectAfter = std::chrono::milliseconds(1500);
   /** A suspected member is declared dead unless refuted within this time. */
   Duration mRefuteWithin = std::chrono::milliseconds(1500);
-  /** Added to mSuspectAfter for members that have sent no heartbeat to this
-   * process since monitoring began: they may not know yet that it monitors
-   * them.
-   */
+  /** Added to mSuspectAfter for members that have sent this process no
+   * heartbeat since monitoring began: they may not know yet that it monitors
+   * them. */
   Duration mNewMonitorGracePeriod = std::chrono::seconds(3);
   /** Maximum fraction of members that may be unresponsive or recently dead. */
   double mMaxDeadFraction = 0.5;
@@ -122,9 +121,8 @@
   bool OnHeartbeat(const Heartbeat& aHeartbeat, Time aNow);
 
   /** Merges records from a peer and returns those that changed the table, which
-   * are forwarded along a dissemination tree. A suspicion that is older than
-   * the heartbeat known here is refuted by the record that TakeChanges returns.
-   */
+   * are forwarded along a dissemination tree. A suspicion older than the
+   * heartbeat known here is refuted by the record that TakeChanges returns. */
   std::vector<MemberRecord> OnDelta(const MemberDelta& aDelta, Time aNow);
   /** Like OnDelta, but ignores tombstones of hosts unknown here. Otherwise
    * repair would exchange tombstones indefinitely. */
