--- a/src/record/Grant.h
+++ b/src/record/Grant.h
@@ -8,12 +8,13 @@
 
 namespace heatherplank {
 
-/** Names one attempt to run a key; drawn at random, never drawn twice. Only
- * the process that drew it dispatches under it. */
+/** Identifies one attempt to run a key. It is random and never reused; only the
+ * process that drew it may dispatch a request under it. */
 using Nonce = std::uint64_t;
 
-/** The right to run a key once, as committed in the platform. It is never
- * taken over by time: only its holder's word that it was not used frees it. */
+/** The right to run a key once, as committed in the platform's store. It has no
+ * timeout: it is replaced only after its holder confirms that it did not
+ * dispatch the request and never will. */
 struct Grant
 {
   HostId mHost;
@@ -21,7 +22,8 @@
   Nonce mNonce = 0;
   /** The run ended and its outcome is known. */
   bool mAnswered = false;
-  /** The answer; none while it runs, or if it was too large to keep. */
+  /** The answer; none while the run is in progress, or if the answer was too
+   * large to be stored. */
   std::optional<std::string> mAnswer;
 
   bool operator==(const Grant&) const = default;
--- a/src/record/GrantShard.cpp
+++ b/src/record/GrantShard.cpp
@@ -9,13 +9,13 @@
 
 namespace {
 
-/** Table, vtable share, offsets and padding of a grant, at most. */
-constexpr std::size_t kGrantOverhead = 72;
-constexpr std::size_t kShardOverhead = 128;
+/** Upper bound of a grant's table, vtable share, offsets and padding. */
+constexpr std::size_t kGrantOverheadBytes = 72;
+constexpr std::size_t kShardOverheadBytes = 128;
 
 using WireGrants = flatbuffers::Vector<flatbuffers::Offset<wire::Grant>>;
 
-flatbuffers::Offset<WireGrants> PutGrants(
+flatbuffers::Offset<WireGrants> WriteGrants(
   flatbuffers::FlatBufferBuilder& aBuilder,
   const std::map<std::string, Grant>& aGrants)
 {
@@ -36,7 +36,7 @@
   return aBuilder.CreateVector(out);
 }
 
-void TakeGrants(const WireGrants& aFrom, std::map<std::string, Grant>& aOut)
+void ReadGrants(const WireGrants& aFrom, std::map<std::string, Grant>& aOut)
 {
   for (const wire::Grant* it : aFrom) {
     Grant grant{ { it->host() },
@@ -51,11 +51,11 @@
   }
 }
 
-std::size_t BoundOf(const std::map<std::string, Grant>& aGrants)
+std::size_t EncodedBoundOf(const std::map<std::string, Grant>& aGrants)
 {
   std::size_t n = 0;
   for (const auto& [key, grant] : aGrants) {
-    n += kGrantOverhead + key.size();
+    n += kGrantOverheadBytes + key.size();
     n += grant.mAnswer ? grant.mAnswer->size() : 0;
   }
   return n;
@@ -69,7 +69,7 @@
   if (aValue.empty()) {
     return shard;
   }
-  // FlatBuffers wants aligned bytes, a string's are.
+  // FlatBuffers requires aligned bytes; a string's buffer is aligned.
   ByteView bytes(reinterpret_cast<const std::uint8_t*>(aValue.data()),
                  aValue.size());
   auto read = ReadRoot<wire::GrantShard>(bytes, "grant shard");
@@ -77,9 +77,9 @@
     return tl::unexpected(read.error());
   }
   const wire::GrantShard& from = **read;
-  TakeGrants(*from.current(), shard.mCurrent);
-  TakeGrants(*from.previous(), shard.mPrevious);
-  shard.mFaded.assign(from.faded()->begin(), from.faded()->end());
+  ReadGrants(*from.current(), shard.mCurrent);
+  ReadGrants(*from.previous(), shard.mPrevious);
+  shard.mExpiredHashes.assign(from.faded()->begin(), from.faded()->end());
   shard.mGeneration = from.generation();
   return shard;
 }
@@ -87,9 +87,9 @@
 std::string GrantShard::Encode() const
 {
   flatbuffers::FlatBufferBuilder builder(EncodedBound());
-  auto current = PutGrants(builder, mCurrent);
-  auto previous = PutGrants(builder, mPrevious);
-  auto faded = builder.CreateVector(mFaded);
+  auto current = WriteGrants(builder, mCurrent);
+  auto previous = WriteGrants(builder, mPrevious);
+  auto faded = builder.CreateVector(mExpiredHashes);
   builder.Finish(
     wire::CreateGrantShard(builder, current, previous, faded, mGeneration));
   ByteView bytes = Finished(builder);
@@ -106,15 +106,16 @@
   return it == mPrevious.end() ? nullptr : &it->second;
 }
 
-bool GrantShard::HasFaded(const std::string& aKey) const
+bool GrantShard::HasExpired(const std::string& aKey) const
 {
-  return std::ranges::find(mFaded, HashBytes(aKey)) != mFaded.end();
+  return std::ranges::find(mExpiredHashes, HashBytes(aKey)) !=
+         mExpiredHashes.end();
 }
 
 void GrantShard::Set(const std::string& aKey, const Grant& aGrant)
 {
-  Grants& home = mPrevious.contains(aKey) ? mPrevious : mCurrent;
-  home[aKey] = aGrant;
+  Grants& generation = mPrevious.contains(aKey) ? mPrevious : mCurrent;
+  generation[aKey] = aGrant;
 }
 
 void GrantShard::Remove(const std::string& aKey)
@@ -125,12 +126,12 @@
 
 void GrantShard::Rotate()
 {
-  mFaded.clear();
+  mExpiredHashes.clear();
   for (const auto& [key, grant] : mPrevious) {
-    mFaded.push_back(HashBytes(key));
+    mExpiredHashes.push_back(HashBytes(key));
   }
-  if (mFaded.size() > kMaxFaded) {
-    mFaded.resize(kMaxFaded);
+  if (mExpiredHashes.size() > kMaxExpiredKeys) {
+    mExpiredHashes.resize(kMaxExpiredKeys);
   }
   mPrevious = std::move(mCurrent);
   mCurrent.clear();
@@ -139,8 +140,9 @@
 
 std::size_t GrantShard::EncodedBound() const
 {
-  return kShardOverhead + BoundOf(mCurrent) + BoundOf(mPrevious) +
-         mFaded.size() * sizeof(std::uint64_t);
+  return kShardOverheadBytes + EncodedBoundOf(mCurrent) +
+         EncodedBoundOf(mPrevious) +
+         mExpiredHashes.size() * sizeof(std::uint64_t);
 }
 
 } // namespace heatherplank
--- a/src/record/GrantShard.h
+++ b/src/record/GrantShard.h
@@ -11,34 +11,36 @@
 
 namespace heatherplank {
 
-/** The grants of the keys that hash to one shard: the value of one platform
- * object. A plain value; not thread safe.
+/** The grants of the keys that hash to one shard, stored as the value of one
+ * platform object. No I/O or clock access; not thread safe.
  *
- * Retention goes by generations: a rotation drops the grants of the generation
- * before and keeps a hash of each of their keys, and drops the oldest hashes.
+ * Retention is by generation. A rotation starts a new generation, keeps the
+ * grants of the last one, replaces those of the one before by hashes of their
+ * keys, and discards the hashes that were held until then.
  */
 class GrantShard
 {
 public:
-  /** Most hashes kept of faded keys: 320 KB. */
-  static constexpr std::size_t kMaxFaded = 40000;
+  /** Maximum number of hashes of expired keys, 8 bytes each: 320 KB. */
+  static constexpr std::size_t kMaxExpiredKeys = 40000;
 
-  /** Reads a value; an empty one is a shard without grants. */
+  /** Decodes an object's value; an empty value is a shard without grants. */
   static Result<GrantShard> Decode(std::string_view aValue);
   std::string Encode() const;
 
   /** The grant of a key, or null. */
   const Grant* Find(const std::string& aKey) const;
-  /** True if the key had a grant whose record has faded to a hash. */
-  bool HasFaded(const std::string& aKey) const;
-  /** Sets the grant of a key, in place if it has one. */
+  /** True if the key's grant has expired and only its hash remains. */
+  bool HasExpired(const std::string& aKey) const;
+  /** Sets the grant of a key. An existing grant is replaced and stays in its
+   * generation. */
   void Set(const std::string& aKey, const Grant& aGrant);
   void Remove(const std::string& aKey);
-  /** Starts a new generation. */
+  /** Starts a new generation; see the class comment. */
   void Rotate();
   std::uint64_t Generation() const { return mGeneration; }
   std::size_t Size() const { return mCurrent.size() + mPrevious.size(); }
-  /** Bytes of the encoded value, at most. */
+  /** Upper bound of the encoded size, in bytes. */
   std::size_t EncodedBound() const;
 
 private:
@@ -46,7 +48,7 @@
 
   Grants mCurrent;
   Grants mPrevious;
-  std::vector<std::uint64_t> mFaded;
+  std::vector<std::uint64_t> mExpiredHashes;
   std::uint64_t mGeneration = 0;
 };
 
--- a/src/record/PlatformGate.cpp
+++ b/src/record/PlatformGate.cpp
@@ -6,9 +6,9 @@
 
 namespace {
 
-double Seconds(Duration aSpan)
+double Seconds(Duration aDuration)
 {
-  return std::chrono::duration<double>(aSpan).count();
+  return std::chrono::duration<double>(aDuration).count();
 }
 
 } // namespace
@@ -19,19 +19,20 @@
   , mRandom(aSeed)
   , mWrites{ aOptions.mWritesPerSecond, aOptions.mBurst, {} }
   , mReads{ aOptions.mReadsPerSecond, aOptions.mBurst, {} }
-  , mBackoff(aOptions.mFirstBackoff)
+  , mBackoff(aOptions.mInitialBackoff)
 {
 }
 
-double PlatformGate::TokensOf(const Bucket& aBucket, Time aNow) const
+double PlatformGate::AvailableTokens(const Bucket& aBucket, Time aNow) const
 {
-  double grown = aBucket.mTokens + Seconds(aNow - aBucket.mAt) * aBucket.mRate;
-  return std::min(grown, mOptions.mBurst);
+  double refilled =
+    aBucket.mTokens + Seconds(aNow - aBucket.mAt) * aBucket.mRate;
+  return std::min(refilled, mOptions.mBurst);
 }
 
-bool PlatformGate::Take(Bucket& aBucket, Time aNow)
+bool PlatformGate::TakeToken(Bucket& aBucket, Time aNow)
 {
-  double tokens = TokensOf(aBucket, aNow);
+  double tokens = AvailableTokens(aBucket, aNow);
   if (tokens < 1) {
     return false;
   }
@@ -45,28 +46,29 @@
   if (Refuses(aNow)) {
     return false;
   }
-  if (!Take(aIsWrite ? mWrites : mReads, aNow)) {
+  if (!TakeToken(aIsWrite ? mWrites : mReads, aNow)) {
     return false;
   }
   mProbing = mOpen;
   return true;
 }
 
-void PlatformGate::OnAnswer(Duration aTook, Time aNow)
+void PlatformGate::OnAnswer(Duration aDuration, Time aNow)
 {
-  mUsual = (mUsual * 7 + aTook) / 8;
-  mAnsweredAt = aNow;
+  mSmoothedLatency = (mSmoothedLatency * 7 + aDuration) / 8;
+  mLastAnswerAt = aNow;
   mFailures = 0;
   mOpen = false;
   mProbing = false;
-  mBackoff = mOptions.mFirstBackoff;
+  mBackoff = mOptions.mInitialBackoff;
 }
 
 void PlatformGate::OnFailure(Time aNow)
 {
   ++mFailures;
   if (mOpen && !mProbing) {
-    // A call from before the breaker opened; the backoff counts it already.
+    // This call was started before the breaker opened; its failure must not
+    // extend the backoff.
     return;
   }
   mProbing = false;
@@ -80,24 +82,26 @@
 
 Duration PlatformGate::RetryAfter(Time aNow)
 {
-  Duration rest = mOpen ? std::max(Duration{}, mProbeAt - aNow) : Duration{};
-  return rest + Jitter(mBackoff);
+  Duration untilProbe =
+    mOpen ? std::max(Duration{}, mProbeAt - aNow) : Duration{};
+  return untilProbe + Jitter(mBackoff);
 }
 
-Duration PlatformGate::ExpectedCall(bool aIsWrite, Time aNow) const
+Duration PlatformGate::ExpectedCallDuration(bool aIsWrite, Time aNow) const
 {
   const Bucket& bucket = aIsWrite ? mWrites : mReads;
-  double missing = std::max(0.0, 1 - TokensOf(bucket, aNow));
+  double missing = std::max(0.0, 1 - AvailableTokens(bucket, aNow));
   auto wait = std::chrono::duration<double>(missing / bucket.mRate);
-  auto seconds = static_cast<int>(Seconds(aNow - mAnsweredAt));
-  Duration usual = mUsual / (std::int64_t{ 1 } << std::clamp(seconds, 0, 30));
-  return usual + std::chrono::duration_cast<Duration>(wait);
+  auto idleSeconds = static_cast<int>(Seconds(aNow - mLastAnswerAt));
+  Duration latency =
+    mSmoothedLatency / (std::int64_t{ 1 } << std::clamp(idleSeconds, 0, 30));
+  return latency + std::chrono::duration_cast<Duration>(wait);
 }
 
-Duration PlatformGate::Jitter(Duration aSpan)
+Duration PlatformGate::Jitter(Duration aMax)
 {
-  std::uniform_int_distribution<Duration::rep> pick(aSpan.count() / 2,
-                                                    aSpan.count());
+  std::uniform_int_distribution<Duration::rep> pick(aMax.count() / 2,
+                                                    aMax.count());
   return Duration(pick(mRandom));
 }
 
--- a/src/record/PlatformGate.h
+++ b/src/record/PlatformGate.h
@@ -9,55 +9,57 @@
 
 struct PlatformGateOptions
 {
-  /** This process's share of the platform's rates. */
+  /** This process's share of the platform's rate limits, in calls per second.
+   */
   double mWritesPerSecond = 300.0 / 7;
   double mReadsPerSecond = 2000.0 / 7;
-  /** Calls that may be made at once after a pause. */
+  /** Capacity of each token bucket, in calls. */
   double mBurst = 16;
-  /** Failures in a row that open the breaker: one may be chance, and a
-   * caller's deadline leaves time for about three. */
+  /** Consecutive failures that open the breaker. A single failure may be
+   * transient, and a caller's deadline leaves time for about three. */
   std::uint32_t mFailuresToOpen = 3;
-  Duration mFirstBackoff = std::chrono::milliseconds(250);
-  /** Short, since claims are refused until a probe finds the platform up, and
-   * few agents probe: those that are asked for a never-repeat request. */
+  Duration mInitialBackoff = std::chrono::milliseconds(250);
+  /** Short, because claims are refused until a probe succeeds, and only agents
+   * that receive a never-repeat request send probes. */
   Duration mMaxBackoff = std::chrono::seconds(2);
 };
 
-/** Decides when the platform may be called: a token bucket for each rate, and
- * a circuit breaker. Pure; not thread safe.
+/** Decides when the platform may be called: a token bucket each for reads and
+ * writes, and a circuit breaker. No I/O or clock access; not thread safe.
  *
- * Failure met: at the end of an outage every agent calls at once and brings
- * the platform down again. It holds since an open breaker lets one probe
- * through at a time, at moments spread by seeded jitter, and the buckets hold
- * what follows within the rates.
+ * Guards against: at the end of an outage all agents call the platform at once
+ * and overload it again. An open breaker admits one probe at a time, after a
+ * backoff with seeded jitter, and the token buckets limit the calls that
+ * follow to the configured rates.
  */
 class PlatformGate
 {
 public:
   PlatformGate(const PlatformGateOptions& aOptions, std::uint64_t aSeed);
 
-  /** Takes a token for a call; false if it must wait. While the breaker is
-   * open, true once for the probe after the backoff. */
+  /** Takes a token for a call; false if the call must wait. While the breaker
+   * is open, admits one probe after each backoff. */
   bool Admit(bool aIsWrite, Time aNow);
-  /** The platform answered, be it with a conflict; the call took aTook. */
-  void OnAnswer(Duration aTook, Time aNow);
-  /** A call failed or its answer was lost. */
+  /** The platform answered (a conflict counts too); the call took aDuration. */
+  void OnAnswer(Duration aDuration, Time aNow);
+  /** A call failed, or its answer was lost. */
   void OnFailure(Time aNow);
 
   bool IsOpen() const { return mOpen; }
-  /** True while no call would be let through: a request that needs the
-   * platform is refused at once. */
+  /** True while the breaker admits no call, so that a request that needs the
+   * platform should be refused at once. */
   bool Refuses(Time aNow) const
   {
     return mOpen && (mProbing || aNow < mProbeAt);
   }
-  /** How long a refused caller should stay away, with jitter, so that callers
-   * come back spread over the time after the next probe. */
+  /** The Retry-After of a refused caller: the time until the next probe plus
+   * jitter, which spreads the retries. */
   Duration RetryAfter(Time aNow);
-  /** How long a call takes these days, waiting for a token included. What was
-   * seen is believed half as much each second, so that requests refused for a
-   * slow platform don't keep it slow in our eyes for ever. */
-  Duration ExpectedCall(bool aIsWrite, Time aNow) const;
+  /** The expected duration of a call, including the wait for a token. The
+   * measured latency is halved for each second without an answer: requests
+   * refused for a slow platform make no calls, so the estimate would otherwise
+   * never recover. */
+  Duration ExpectedCallDuration(bool aIsWrite, Time aNow) const;
 
 private:
   struct Bucket
@@ -67,10 +69,10 @@
     Time mAt{};
   };
 
-  double TokensOf(const Bucket& aBucket, Time aNow) const;
-  bool Take(Bucket& aBucket, Time aNow);
-  /** Between half of a span and all of it. */
-  Duration Jitter(Duration aSpan);
+  double AvailableTokens(const Bucket& aBucket, Time aNow) const;
+  bool TakeToken(Bucket& aBucket, Time aNow);
+  /** A random duration between aMax / 2 and aMax. */
+  Duration Jitter(Duration aMax);
 
   const PlatformGateOptions mOptions;
   std::mt19937_64 mRandom;
@@ -81,9 +83,10 @@
   bool mProbing = false;
   Duration mBackoff;
   Time mProbeAt{};
-  /** Smoothed time of a call, and when it was last fed. */
-  Duration mUsual = std::chrono::milliseconds(5);
-  Time mAnsweredAt{};
+  /** Exponential moving average of the call latency, updated at
+   * mLastAnswerAt. */
+  Duration mSmoothedLatency = std::chrono::milliseconds(5);
+  Time mLastAnswerAt{};
 };
 
 } // namespace heatherplank
--- a/src/record/RunOnce.cpp
+++ b/src/record/RunOnce.cpp
@@ -35,57 +35,59 @@
                       Time aDeadline, Time aNow)
 {
   if (aKey.empty() || aKey.size() > mOptions.mMaxKeyBytes) {
-    SayNotRun(aRequest, RunOnceReason::BadKey, aNow);
+    AnswerNotRun(aRequest, RunOnceReason::BadKey, aNow);
     return;
   }
   auto it = mKeys.find(aKey);
   if (it != mKeys.end()) {
-    Join(it->second, { aRequest, aDeadline, WriterOf(aKey).Started() }, aNow);
+    JoinKey(it->second, { aRequest, aDeadline, WriterOf(aKey).CallsStarted() },
+            aNow);
     return;
   }
   if (mKeys.size() >= mOptions.mMaxKeys) {
-    SayNotRun(aRequest, RunOnceReason::TooManyKeys, aNow);
+    AnswerNotRun(aRequest, RunOnceReason::TooManyKeys, aNow);
     return;
   }
-  Open(aRequest, aKey, aDeadline, aNow);
-  Pump(aNow);
+  OpenKey(aRequest, aKey, aDeadline, aNow);
+  StartDueCalls(aNow);
 }
 
-/** Failure met: the platform is down, and each claim waits until its deadline
- * for a grant that can't come. Shown as late refusals. A new key is refused at
- * once, with when to come back; what the peers know is asked first, since the
+/** Guards against: during a platform outage each claim waits until its deadline
+ * for a grant that can't be committed, and is refused late. A new key is
+ * refused at once with a Retry-After, after the peers were queried, since the
  * key may have run before the outage. */
-void RunOnce::Open(RequestToken aRequest, const std::string& aKey,
-                   Time aDeadline, Time aNow)
+void RunOnce::OpenKey(RequestToken aRequest, const std::string& aKey,
+                      Time aDeadline, Time aNow)
 {
   KeyState& state = mKeys[aKey];
-  state.mWaiters.push_back({ aRequest, aDeadline, WriterOf(aKey).Started() });
+  state.mWaiters.push_back(
+    { aRequest, aDeadline, WriterOf(aKey).CallsStarted() });
   bool homeDown = !IsHome(aKey) && aNow < mHomeDownUntil;
   if (homeDown || (IsHome(aKey) && mGate.Refuses(aNow))) {
-    StartAskingPeers(aKey, state, RunOnceReason::PlatformDown, aNow);
-  } else if (IsHome(aKey) && IsTooSlowFor(aKey, aDeadline, aNow)) {
-    StartAskingPeers(aKey, state, RunOnceReason::PlatformSlow, aNow);
+    StartQueryingPeers(aKey, state, RunOnceReason::PlatformDown, aNow);
+  } else if (IsHome(aKey) && IsPlatformTooSlow(aKey, aDeadline, aNow)) {
+    StartQueryingPeers(aKey, state, RunOnceReason::PlatformSlow, aNow);
   } else {
     Claim(aKey, state, 0, aNow);
   }
 }
 
-void RunOnce::Join(KeyState& aState, const Waiter& aWaiter, Time aNow)
+void RunOnce::JoinKey(KeyState& aState, const Waiter& aWaiter, Time aNow)
 {
   if (aState.mPhase == Phase::Ended) {
     if (aState.mAnswer) {
       mActions.emplace_back(Duplicate{ aWaiter.mRequest, *aState.mAnswer });
     } else {
-      SayUnknown(aWaiter.mRequest, RunOnceReason::NoAnswerKept);
+      AnswerUnknown(aWaiter.mRequest, RunOnceReason::NoAnswerKept);
     }
     return;
   }
   if (aWaiter.mDeadline <= aNow) {
-    SayUnknown(aWaiter.mRequest, RunOnceReason::StillRunning);
+    AnswerUnknown(aWaiter.mRequest, RunOnceReason::StillRunning);
     return;
   }
   if (aState.mWaiters.size() >= mOptions.mMaxWaitersPerKey) {
-    SayUnknown(aWaiter.mRequest, RunOnceReason::TooManyWaiters);
+    AnswerUnknown(aWaiter.mRequest, RunOnceReason::TooManyWaiters);
     return;
   }
   aState.mWaiters.push_back(aWaiter);
@@ -100,15 +102,17 @@
   aState.mPhase = Phase::Claiming;
   aState.mSince = aNow;
   Grant grant{ mHost, mIncarnation, aState.mNonce, false, std::nullopt };
-  auto last = std::ranges::max_element(aState.mWaiters, {}, &Waiter::mDeadline);
-  Want(aKey, { ChangeKind::Claim, grant, aReplaces, aNow, last->mDeadline });
+  auto latest =
+    std::ranges::max_element(aState.mWaiters, {}, &Waiter::mDeadline);
+  EnqueueWrite(
+    aKey, { ChangeKind::Claim, grant, aReplaces, aNow, latest->mDeadline });
 }
 
 void RunOnce::OnOutcome(const ShardOutcome& aOutcome, Time aNow)
 {
   auto it = mKeys.find(aOutcome.mKey);
-  bool ours = it != mKeys.end() && it->second.mNonce == aOutcome.mNonce;
-  if (!ours) {
+  bool isCurrent = it != mKeys.end() && it->second.mNonce == aOutcome.mNonce;
+  if (!isCurrent) {
     return;
   }
   KeyState& state = it->second;
@@ -123,70 +127,72 @@
   }
   switch (aOutcome.mResult) {
     case ChangeResult::Committed:
-      PassOn(aOutcome.mKey, state, aNow);
+      PassToNextWaiter(aOutcome.mKey, state, aNow);
       break;
     case ChangeResult::Taken:
-      OnTaken(aOutcome.mKey, state, aOutcome.mPresent, aNow);
+      OnClaimTaken(aOutcome.mKey, state, aOutcome.mPresent, aNow);
       break;
-    case ChangeResult::Faded:
-      UnknownToAll(state, RunOnceReason::KeyTooOld);
+    case ChangeResult::Expired:
+      AnswerUnknownToAll(state, RunOnceReason::KeyTooOld);
       Drop(aOutcome.mKey);
       break;
     case ChangeResult::Down:
-      StartAskingPeers(aOutcome.mKey, state, RunOnceReason::PlatformDown, aNow);
+      StartQueryingPeers(aOutcome.mKey, state, RunOnceReason::PlatformDown,
+                         aNow);
       break;
     case ChangeResult::Slow:
-      StartAskingPeers(aOutcome.mKey, state, RunOnceReason::PlatformSlow, aNow);
+      StartQueryingPeers(aOutcome.mKey, state, RunOnceReason::PlatformSlow,
+                         aNow);
       break;
     default:
-      NotRunToAll(state, RunOnceReason::ShardFull, aNow);
+      AnswerNotRunToAll(state, RunOnceReason::ShardFull, aNow);
       Drop(aOutcome.mKey);
       break;
   }
 }
 
-/** Failure met: the holder of a grant was paused, another agent takes its
- * grant for lapsed and runs the key, and the holder wakes and runs it too.
- * Shown as a key that ran twice. It holds since a grant is replaced only on
- * its holder's word that it gave up that nonce, which it then never uses. */
-void RunOnce::OnTaken(const std::string& aKey, KeyState& aState,
-                      const Grant& aPresent, Time aNow)
+/** Guards against: a grant's holder is paused, another agent assumes that the
+ * grant has expired and runs the key, and the holder resumes and runs it too.
+ * A grant is replaced only after its holder confirms that it gave up the nonce,
+ * which it never uses afterwards. */
+void RunOnce::OnClaimTaken(const std::string& aKey, KeyState& aState,
+                           const Grant& aPresent, Time aNow)
 {
   aState.mHolder = aPresent;
   if (aPresent.mAnswered) {
     if (aPresent.mAnswer) {
       AnswerAll(aState, *aPresent.mAnswer);
     } else {
-      UnknownToAll(aState, RunOnceReason::NoAnswerKept);
+      AnswerUnknownToAll(aState, RunOnceReason::NoAnswerKept);
     }
     Drop(aKey);
     return;
   }
-  if (!mOptions.mAskHolder) {
+  if (!mOptions.mQueryHolder) {
     Claim(aKey, aState, aPresent.mNonce, aNow);
     return;
   }
   if (aPresent.mHost == mHost && aPresent.mIncarnation == mIncarnation) {
-    // An earlier attempt of ours, given up, that landed after all: whatever
-    // may still run under this key would be open here.
+    // The grant of an earlier attempt by this process that was given up and
+    // committed late. An attempt that may still run would have a KeyState here.
     Claim(aKey, aState, aPresent.mNonce, aNow);
     return;
   }
   if (aPresent.mHost == mHost) {
-    UnknownToAll(aState, RunOnceReason::HolderLost);
+    AnswerUnknownToAll(aState, RunOnceReason::HolderLost);
     Drop(aKey);
     return;
   }
-  aState.mPhase = Phase::Asking;
-  aState.mUnanswered = 0;
-  Ask(aKey, aState, aNow);
+  aState.mPhase = Phase::QueryingHolder;
+  aState.mUnansweredQueries = 0;
+  QueryHolder(aKey, aState, aNow);
 }
 
-/** Failure met: the holder sleeps between grant and dispatch, past its
- * request's deadline (or past the retention of grants), and wakes. Shown as
- * work that is done for nobody, or a key that ran twice. It holds since the
- * clock is looked at here, after the sleep, and since each Granted has a nonce
- * of its own. */
+/** Guards against: the holder is stalled between grant and dispatch until its
+ * request's deadline (or the retention of grants) has passed; on resuming it
+ * would do work that nobody waits for, or run a key twice. The deadline is
+ * compared with the clock here, after the stall, and each Granted action has
+ * its own nonce. */
 bool RunOnce::MayDispatch(const std::string& aKey, Nonce aNonce, Time aNow)
 {
   KeyState* state = FindAttempt(aKey, aNonce, Phase::Granted);
@@ -224,8 +230,8 @@
 {
   KeyState* state = FindAttempt(aKey, aNonce, Phase::Running);
   if (state != nullptr) {
-    PassOn(aKey, *state, aNow);
-    Pump(aNow);
+    PassToNextWaiter(aKey, *state, aNow);
+    StartDueCalls(aNow);
   }
 }
 
@@ -238,25 +244,27 @@
   if (aState.mAnswer) {
     AnswerAll(aState, *aState.mAnswer);
   } else {
-    UnknownToAll(aState, RunOnceReason::NoAnswerKept);
+    AnswerUnknownToAll(aState, RunOnceReason::NoAnswerKept);
   }
   Grant grant{ mHost, mIncarnation, aState.mNonce, true, aState.mAnswer };
   if (grant.mAnswer && grant.mAnswer->size() > mOptions.mMaxAnswerBytes) {
     grant.mAnswer.reset();
   }
-  Want(aKey, { ChangeKind::Answer, grant, 0, aNow + mOptions.mAnswerLinger });
+  EnqueueWrite(aKey,
+               { ChangeKind::Answer, grant, 0, aNow + mOptions.mAnswerLinger });
 }
 
-void RunOnce::PassOn(const std::string& aKey, KeyState& aState, Time aNow)
+void RunOnce::PassToNextWaiter(const std::string& aKey, KeyState& aState,
+                               Time aNow)
 {
-  DropLateWaiters(aState, false, aNow);
+  DropExpiredWaiters(aState, false, aNow);
   if (aState.mWaiters.empty()) {
     Withdraw(aKey, aState, aNow);
     Drop(aKey);
     return;
   }
   if (aState.mPhase != Phase::Claiming) {
-    // Handed out before: a late dispatch under the old nonce must fail.
+    // The nonce was handed out already; a late dispatch under it must fail.
     Claim(aKey, aState, aState.mNonce, aNow);
     return;
   }
@@ -266,16 +274,16 @@
     Granted{ first.mRequest, aKey, aState.mNonce, first.mDeadline });
 }
 
-/** Failure met: a grant that was given up lands in the platform later, and the
- * key is refused for ever. Shown as keys that stay "outcome unknown". The
- * writer takes it out again once it can no longer land. */
+/** Guards against: a grant that was given up is committed late, and the key's
+ * outcome stays unknown for ever. The writer removes the grant once no write
+ * in flight can commit it any more. */
 void RunOnce::Withdraw(const std::string& aKey, const KeyState& aState,
                        Time aNow)
 {
   Grant grant{ mHost, mIncarnation, aState.mNonce, false, std::nullopt };
   Time due = aNow + mOptions.mAnswerLinger;
   if (!IsHome(aKey)) {
-    Want(aKey, { ChangeKind::Withdraw, grant, 0, due });
+    EnqueueWrite(aKey, { ChangeKind::Withdraw, grant, 0, due });
   }
   WriterOf(aKey).GiveUp(aKey, grant, due);
 }
@@ -296,12 +304,12 @@
   bool mayRun =
     state.mPhase != Phase::Claiming && state.mPhase != Phase::Granted;
   if (mayRun) {
-    SayUnknown(aRequest, RunOnceReason::StillRunning);
+    AnswerUnknown(aRequest, RunOnceReason::StillRunning);
   } else {
-    SayNotRun(aRequest, RunOnceReason::Cancelled, aNow);
+    AnswerNotRun(aRequest, RunOnceReason::Cancelled, aNow);
   }
   if (state.mPhase == Phase::Granted && wasFirst) {
-    PassOn(aKey, state, aNow);
+    PassToNextWaiter(aKey, state, aNow);
   } else if (state.mWaiters.empty() && state.mPhase != Phase::Running) {
     Withdraw(aKey, state, aNow);
     Drop(aKey);
--- a/src/record/RunOnce.h
+++ b/src/record/RunOnce.h
@@ -22,48 +22,53 @@
 
 struct RunOnceOptions
 {
-  /** Objects are named PREFIX/SHARD; use one prefix a service. */
+  /** Objects are named PREFIX/SHARD. Each service needs a prefix of its own. */
   std::string mPrefix = "grants";
-  /** Shards of the keys; the same in every process, for ever. */
+  /** Number of shards. It must be the same in every process and must never
+   * change, or a key's earlier grant isn't found. */
   std::uint32_t mShards = 64;
   ShardWriterOptions mShard;
   PlatformGateOptions mGate;
   std::size_t mMaxKeyBytes = 128;
-  /** Largest answer that is kept in the platform. */
+  /** Largest answer that is stored in the platform. */
   std::size_t mMaxAnswerBytes = 1200;
   std::size_t mMaxKeys = 10000;
   std::size_t mMaxWaitersPerKey = 16;
-  /** How long an answer may wait to be written, for others to join. */
+  /** How long an answer may wait to be written, so that one write carries
+   * several. */
   Duration mAnswerLinger = std::chrono::milliseconds(500);
-  /** How long a key's end is kept here after the platform has it. */
+  /** How long the outcome of a key is retained locally, once the platform has
+   * stored it. */
   Duration mKeepEnded = std::chrono::seconds(30);
-  /** A holder is asked this often, and this many times without a reply. */
-  Duration mAskEvery = std::chrono::milliseconds(100);
-  std::uint32_t mAskTries = 4;
-  /** How long peers may take to answer in an outage. */
+  /** Interval between queries to a grant's holder, and how many may remain
+   * unanswered in a row before the holder counts as unresponsive. */
+  Duration mHolderQueryInterval = std::chrono::milliseconds(100);
+  std::uint32_t mMaxUnansweredQueries = 4;
+  /** Timeout for the replies of peers during a platform outage. */
   Duration mPeerWait = std::chrono::milliseconds(100);
 
-  /** A home that has not answered is asked again after this long, and after so
-   * many times the shard is written from here. */
-  Duration mHomeWait = std::chrono::milliseconds(60);
-  std::uint32_t mHomeTries = 2;
-  /** A home that said that it has a wish is left alone for this long. */
-  Duration mHomeQueuedWait = std::chrono::milliseconds(400);
-  /** A process this old vouches that a key that it does not know never ran at
-   * its host; callers repeat a key sooner than that. */
+  /** A change is sent again to a home that has not answered after this
+   * interval. After this many tries the shard is written from this process. */
+  Duration mHomeRetryInterval = std::chrono::milliseconds(60);
+  std::uint32_t mMaxHomeTries = 2;
+  /** Retry interval for a change that the home has reported as queued. */
+  Duration mHomeQueuedRetryInterval = std::chrono::milliseconds(400);
+  /** A process that has run for this long confirms that a key unknown to it
+   * never ran at its host. Callers must repeat a key sooner than that. */
   Duration mVouchAfter = std::chrono::minutes(2);
 
-  // Guard switches; each is off only to show the failure it meets.
-  bool mAskHolder = true;
-  bool mAskPeers = true;
-  bool mDropGivenUp = true;
+  // Switches for tests: each turns one guard off to show the failure that the
+  // guard prevents.
+  bool mQueryHolder = true;
+  bool mQueryPeers = true;
+  bool mDropExpiredWaiters = true;
   bool mCheckBeforeDispatch = true;
 };
 
-/** Runs each key at most once over all agents of a service. Before a request
+/** Runs each key at most once across all agents of a service. Before a request
  * is dispatched, a grant for it is committed in the platform; see
- * docs/AT-MOST-ONCE.md. Pure: events in, actions out (TakeActions), time as an
- * argument. Not thread safe.
+ * docs/AT-MOST-ONCE.md. No I/O or clock access: callers deliver events and
+ * perform the actions that TakeActions returns. Not thread safe.
  *
  * Each request gets exactly one of Granted, Duplicate, NotRun, Unknown; one
  * that was Granted may still get NotRun, if MayDispatch was never true.
@@ -75,58 +80,63 @@
   RunOnce(HostId aHost, Incarnation aIncarnation,
           const RunOnceOptions& aOptions, std::uint64_t aSeed, Time aNow);
 
-  /** The agents of the service, this one too: each shard has one of them as its
-   * home, which writes for all, so that they don't run into each other. They
-   * need not agree on it. Without any, each agent writes for itself. */
+  /** Sets the agents of the service, including this one. Each shard is assigned
+   * one of them as its home, which writes the changes of all agents and so
+   * avoids write conflicts. Agents need not agree on the assignment. With an
+   * empty list each agent writes its own changes. */
   void SetHomes(std::span<const HostId> aHosts);
 
-  /** A request that may not be repeated. Precondition: aRequest is not open. */
+  /** Opens a request that must run at most once. Precondition: aRequest isn't
+   * open. */
   void Request(RequestToken aRequest, const std::string& aKey, Time aDeadline,
                Time aNow);
-  /** The caller no longer wants it: answered NotRun unless dispatched. */
+  /** Cancels a request: answers NotRun, or Unknown if the key may have been
+   * dispatched. No effect on a request that was itself dispatched. */
   void Cancel(RequestToken aRequest, const std::string& aKey, Time aNow);
 
-  /** To be asked right before dispatch: true if the request may be dispatched
-   * now, and counts as dispatched from then on. If false, it never may be. */
+  /** Call immediately before dispatch. If true, the request may be dispatched
+   * and counts as dispatched; if false, it must never be dispatched under this
+   * nonce. */
   bool MayDispatch(const std::string& aKey, Nonce aNonce, Time aNow);
   /** The dispatched request ended with an answer. */
   void Answered(const std::string& aKey, Nonce aNonce, std::string_view aAnswer,
                 Time aNow);
-  /** The dispatched request was lost sight of. */
+  /** The outcome of the dispatched request can't be determined. */
   void LostSight(const std::string& aKey, Nonce aNonce, Time aNow);
-  /** The backend server said that it did not run it, and will not. */
+  /** The backend server reported that it did not run the request and won't. */
   void RefusedByServer(const std::string& aKey, Nonce aNonce, Time aNow);
 
-  /** What this host knows of a key; aNonce 0 asks for any attempt. Thereby it
-   * promises what GivenUp says. */
+  /** Answers another agent's query about a key; aNonce 0 matches any attempt.
+   * The reply GivenUp is binding: that nonce is never dispatched afterwards. */
   KeyReply OnQuestion(const std::string& aKey, Nonce aNonce,
                       Incarnation aIncarnation, Time aNow) const;
   /** The reply to AskHolder. */
   void OnReply(const std::string& aKey, const KeyReply& aReply, Time aNow);
-  /** The replies to AskPeers: the gravest, and whether all answered. */
+  /** The result of AskPeers: the reply with the largest KeyKnowledge, and
+   * whether all peers replied. */
   void OnPeers(const std::string& aKey, const KeyReply& aReply,
                bool aAllAnswered, Time aNow);
 
-  /** Another agent's wishes, for which this host is the home. */
-  void OnWishes(const std::vector<ShardWish>& aWishes, Time aNow);
-  /** What a home says of this agent's wishes. */
+  /** Receives the changes that another agent sent to this host as the home. */
+  void OnWishes(const std::vector<ShardWish>& aWrites, Time aNow);
+  /** Receives the outcomes of this agent's changes from a home. */
   void OnOutcomes(const std::vector<ShardOutcome>& aOutcomes,
                   Duration aRetryAfter, Time aNow);
 
   void OnGet(CallTicket aTicket, const Result<Object>& aResult, Time aNow);
   void OnPut(CallTicket aTicket, const Result<std::uint64_t>& aResult,
              Time aNow);
-  /** Call it every few milliseconds while anything is open. */
+  /** Call every few milliseconds while any request is open. */
   void OnTick(Time aNow);
 
-  /** What is to be done since the last call, in order. */
+  /** The actions queued since the last call, in order. */
   std::vector<RunOnceAction> TakeActions();
   /** Messages to send since the last call; none unless SetHomes was called. */
   std::vector<HomeMessage> TakeHomeMessages();
 
-  /** Keys held here, those that ended too. */
+  /** Number of keys held here, including those that have ended. */
   std::size_t Keys() const { return mKeys.size(); }
-  /** Requests that were answered with a reason. */
+  /** Number of requests that were answered with aReason. */
   std::uint64_t Count(RunOnceReason aReason) const;
   std::uint64_t Writes() const { return mWrites; }
   std::uint64_t Reads() const { return mReads; }
@@ -136,13 +146,13 @@
 private:
   enum class Phase : std::uint8_t
   {
-    /** The grant is wanted in the platform. */
+    /** A claim for the key is pending. */
     Claiming,
-    /** Another host was granted the key: its agent is asked. */
-    Asking,
-    /** The platform is out of reach: the peers are asked. */
-    AskingPeers,
-    /** The grant is committed, and not dispatched. */
+    /** Another host holds the grant; its agent is being queried. */
+    QueryingHolder,
+    /** The platform is unavailable; the peers are being queried. */
+    QueryingPeers,
+    /** The grant is committed; the request isn't dispatched yet. */
     Granted,
     Running,
     Ended,
@@ -151,7 +161,7 @@
   {
     RequestToken mRequest = 0;
     Time mDeadline{};
-    /** Calls to the shard that were started before it came. */
+    /** Calls to the shard that were started before the request arrived. */
     std::uint64_t mCallsBefore = 0;
   };
   struct KeyState
@@ -159,50 +169,52 @@
     Phase mPhase = Phase::Claiming;
     Nonce mNonce = 0;
     Grant mHolder;
-    /** The request that was granted is at the front. */
+    /** A granted request is at the front. */
     std::vector<Waiter> mWaiters;
     std::optional<std::string> mAnswer;
-    /** The platform holds the end. */
+    /** The platform has stored the outcome. */
     bool mRecorded = false;
+    /** Start of the current phase, or the last query to the holder. */
     Time mSince{};
-    std::uint32_t mUnanswered = 0;
-    RunOnceReason mWhy{};
+    std::uint32_t mUnansweredQueries = 0;
+    RunOnceReason mReason{};
   };
   using KeyMap = std::map<std::string, KeyState>;
-  /** A wish that another host is to write. */
-  struct RemoteWish
+  /** A pending write that is sent to the shard's home. */
+  struct RemoteWrite
   {
     std::string mKey;
     ShardChange mChange;
     Time mSendAt{};
     std::uint32_t mTries = 0;
   };
-  struct Flight
+  struct CallInFlight
   {
     std::uint32_t mShard = 0;
     Time mStarted{};
   };
 
-  // Ways of a key.
-  void Open(RequestToken aRequest, const std::string& aKey, Time aDeadline,
-            Time aNow);
-  void Join(KeyState& aState, const Waiter& aWaiter, Time aNow);
+  // State transitions of a key.
+  void OpenKey(RequestToken aRequest, const std::string& aKey, Time aDeadline,
+               Time aNow);
+  void JoinKey(KeyState& aState, const Waiter& aWaiter, Time aNow);
   void Claim(const std::string& aKey, KeyState& aState, Nonce aReplaces,
              Time aNow);
   void OnOutcome(const ShardOutcome& aOutcome, Time aNow);
-  void OnTaken(const std::string& aKey, KeyState& aState, const Grant& aPresent,
-               Time aNow);
+  void OnClaimTaken(const std::string& aKey, KeyState& aState,
+                    const Grant& aPresent, Time aNow);
   void Withdraw(const std::string& aKey, const KeyState& aState, Time aNow);
-  void StartAskingPeers(const std::string& aKey, KeyState& aState,
-                        RunOnceReason aWhy, Time aNow);
+  void StartQueryingPeers(const std::string& aKey, KeyState& aState,
+                          RunOnceReason aReason, Time aNow);
   void End(const std::string& aKey, KeyState& aState,
            std::optional<std::string> aAnswer, Time aNow);
-  /** The attempt is over and was not dispatched: the next waiter goes on with
-   * it, or the key is dropped and the grant withdrawn. */
-  void PassOn(const std::string& aKey, KeyState& aState, Time aNow);
-  void Ask(const std::string& aKey, KeyState& aState, Time aNow);
+  /** Continues an attempt that did not run with its next waiter, under a new
+   * claim if the nonce was handed out already. If all waiters are past their
+   * deadlines, withdraws the grant and drops the key. */
+  void PassToNextWaiter(const std::string& aKey, KeyState& aState, Time aNow);
+  void QueryHolder(const std::string& aKey, KeyState& aState, Time aNow);
   KeyState* Find(const std::string& aKey, Phase aPhase);
-  bool Vouches(Time aNow) const
+  bool CanConfirmNeverRan(Time aNow) const
   {
     return aNow - mStartedAt >= mOptions.mVouchAfter;
   }
@@ -210,44 +222,43 @@
   KeyState* FindAttempt(const std::string& aKey, Nonce aNonce, Phase aPhase);
 
   // Answers to requests.
-  void SayNotRun(RequestToken aRequest, RunOnceReason aReason, Time aNow);
-  void SayUnknown(RequestToken aRequest, RunOnceReason aReason);
+  void AnswerNotRun(RequestToken aRequest, RunOnceReason aReason, Time aNow);
+  void AnswerUnknown(RequestToken aRequest, RunOnceReason aReason);
   void AnswerAll(KeyState& aState, const std::string& aAnswer);
-  void UnknownToAll(KeyState& aState, RunOnceReason aReason);
-  void NotRunToAll(KeyState& aState, RunOnceReason aReason, Time aNow);
+  void AnswerUnknownToAll(KeyState& aState, RunOnceReason aReason);
+  void AnswerNotRunToAll(KeyState& aState, RunOnceReason aReason, Time aNow);
 
-  // Time.
-  /** These may drop the key. */
+  // Timeouts. The Tick functions may drop the key.
   void TickKey(const std::string& aKey, KeyState& aState, Time aNow);
   void TickClaim(const std::string& aKey, KeyState& aState, Time aNow);
-  void TickAsking(const std::string& aKey, KeyState& aState, Time aNow);
+  void TickQueryingHolder(const std::string& aKey, KeyState& aState, Time aNow);
   void TickGranted(const std::string& aKey, KeyState& aState, Time aNow);
-  void DropLateWaiters(KeyState& aState, bool aMayHaveRun, Time aNow);
-  /** True if the shard was seen since the latest of the waiters came, so that
-   * a run before it would have been found. */
-  bool HasSeenShard(const std::string& aKey, const KeyState& aState);
-  bool IsTooSlowFor(const std::string& aKey, Time aDeadline, Time aNow);
+  void DropExpiredWaiters(KeyState& aState, bool aMayHaveRun, Time aNow);
+  /** True if the shard was read after the last waiter arrived, so that an
+   * earlier run of the key would have been found. */
+  bool HasReadShard(const std::string& aKey, const KeyState& aState);
+  bool IsPlatformTooSlow(const std::string& aKey, Time aDeadline, Time aNow);
 
   // Homes.
   HostId HomeOf(const std::string& aKey) const;
   bool IsHome(const std::string& aKey) const;
-  /** Wants a change written, here or by the key's home. */
-  void Want(const std::string& aKey, const ShardChange& aChange);
-  void SendWishes(Time aNow);
-  void WriteHere(const RemoteWish& aWish);
-  void Tell(const std::vector<ShardOutcome>& aOutcomes, Time aNow);
-  void WithdrawStray(const ShardOutcome& aOutcome, Time aNow);
+  /** Queues a change to be written locally or by the key's home. */
+  void EnqueueWrite(const std::string& aKey, const ShardChange& aChange);
+  void SendRemoteWrites(Time aNow);
+  void WriteLocally(const RemoteWrite& aWrite);
+  void SendOutcomes(const std::vector<ShardOutcome>& aOutcomes, Time aNow);
+  void WithdrawUnknownGrant(const ShardOutcome& aOutcome, Time aNow);
 
   // Platform.
   std::uint32_t ShardOf(const std::string& aKey) const;
   ShardWriter& WriterOf(const std::string& aKey);
-  void Pump(Time aNow);
-  /** False once the gate lets nothing more through. */
-  bool PumpShard(std::uint32_t aShard, ShardWriter& aWriter, Time aNow);
-  /** The writer whose call has landed, or null for a stray answer. */
-  ShardWriter* Land(CallTicket aTicket, bool aAnswered, Time aNow);
-  void Settle(const std::vector<ShardOutcome>& aOutcomes, Time aNow);
-  void RefuseIfDown(Time aNow);
+  void StartDueCalls(Time aNow);
+  /** False if the gate did not admit the call. */
+  bool StartDueCall(std::uint32_t aShard, ShardWriter& aWriter, Time aNow);
+  /** Returns the writer of a completed call, or null for an unknown ticket. */
+  ShardWriter* CompleteCall(CallTicket aTicket, bool aAnswered, Time aNow);
+  void ApplyOutcomes(const std::vector<ShardOutcome>& aOutcomes, Time aNow);
+  void RefuseClaimsIfDown(Time aNow);
 
   const HostId mHost;
   const Incarnation mIncarnation;
@@ -258,11 +269,11 @@
   std::map<std::uint32_t, ShardWriter> mWriters;
   KeyMap mKeys;
   std::vector<HostId> mHomes;
-  /** By nonce. */
-  std::map<Nonce, RemoteWish> mRemote;
-  /** Until then a home said to stay away. */
+  /** Keyed by nonce. */
+  std::map<Nonce, RemoteWrite> mRemoteWrites;
+  /** End of the longest Retry-After that a home has sent. */
   Time mHomeDownUntil{};
-  std::map<CallTicket, Flight> mFlights;
+  std::map<CallTicket, CallInFlight> mCallsInFlight;
   CallTicket mNextTicket = 1;
   std::uint32_t mNextShard = 0;
   std::vector<RunOnceAction> mActions;
--- a/src/record/RunOnceActions.h
+++ b/src/record/RunOnceActions.h
@@ -14,56 +14,57 @@
 
 namespace heatherplank {
 
-/** The driver's own name of a request; unique among those open. */
+/** Identifies a request to the driver; unique among open requests. */
 using RequestToken = std::uint64_t;
-/** Matches a platform call to its answer. */
+/** Identifies a platform call, to match its answer. */
 using CallTicket = std::uint64_t;
 
 /** Why a request was not run, or why its outcome is unknown. */
 enum class RunOnceReason : std::uint8_t
 {
-  /** The breaker is open: the platform is down. */
+  /** The circuit breaker is open: the platform is down. */
   PlatformDown,
-  /** The platform answers, but not before the deadline. */
+  /** The platform is up but too slow to answer before the deadline. */
   PlatformSlow,
   /** The deadline passed before the grant was committed. */
   DeadlinePassed,
-  /** The grant came, but its holder was late (paused) to dispatch. */
+  /** The grant was committed, but its holder (stalled, for example) did not
+   * dispatch the request before the deadline. */
   HolderLate,
-  /** Too many keys are open here. */
+  /** This process holds the maximum number of keys. */
   TooManyKeys,
-  /** The key's shard holds all the grants that fit. */
+  /** The key's shard has reached its size limit for grants. */
   ShardFull,
   /** The key is empty or too long. */
   BadKey,
-  /** The backend server refused it before it began. */
+  /** The backend server refused the request before running it. */
   RefusedByServer,
-  /** The caller cancelled it before it was dispatched. */
+  /** The caller cancelled the request before it was dispatched. */
   Cancelled,
 
-  // Outcome unknown from here on.
+  // For the reasons below the outcome is unknown.
 
-  /** It runs on another host and had no answer by the deadline. */
+  /** The key may be running, and there was no answer by the deadline. */
   StillRunning,
-  /** The host that was granted the key does not answer. */
+  /** The host that holds the key's grant is unresponsive. */
   HolderSilent,
-  /** The host that was granted the key has restarted since. */
+  /** The host that holds the key's grant has restarted since. */
   HolderLost,
-  /** It ran or may have run; no answer is kept. */
+  /** The key ran or may have run; no answer is stored. */
   NoAnswerKept,
-  /** The key is older than the retention of answers. */
+  /** The key's grant has expired, and its answer with it. */
   KeyTooOld,
-  /** Peers that might know the key did not all answer in an outage. */
+  /** During an outage, the peers could not confirm that the key never ran. */
   PeersSilent,
-  /** Too many requests of one key wait for its answer. */
+  /** Too many requests for the key are waiting for its answer. */
   TooManyWaiters,
   Last = TooManyWaiters,
 };
 
-/** The name of a reason, as it stands in counters and answers. */
+/** The name of a reason in metrics and answers. */
 std::string_view ToString(RunOnceReason aReason);
 
-/** Make this platform call and bring its answer (OnGet, OnPut). */
+/** Make this platform call and deliver its answer (OnGet, OnPut). */
 struct StoreCall
 {
   CallTicket mTicket = 0;
@@ -73,24 +74,25 @@
   WriteCondition mCondition;
 };
 
-/** The grant is committed: ask MayDispatch, then dispatch. */
+/** The grant is committed: call MayDispatch, and dispatch if it returns true.
+ */
 struct Granted
 {
   RequestToken mRequest = 0;
   std::string mKey;
   Nonce mNonce = 0;
-  /** Pass it on to the backend server as the request's deadline. */
+  /** The request's deadline, to be forwarded to the backend server. */
   Time mDispatchBefore{};
 };
 
-/** The key has run; answer the request with the kept answer. */
+/** The key has run; answer the request with the stored answer. */
 struct Duplicate
 {
   RequestToken mRequest = 0;
   std::string mAnswer;
 };
 
-/** It was not run under this request and will not be. */
+/** The key was not run for this request and won't be. */
 struct NotRun
 {
   RequestToken mRequest = 0;
@@ -98,77 +100,79 @@
   Duration mRetryAfter{};
 };
 
-/** It may have run; it will not be run again. */
+/** The key may have run; it won't be run again. */
 struct Unknown
 {
   RequestToken mRequest = 0;
   RunOnceReason mReason{};
 };
 
-/** Send a question to a host's agent (OnQuestion there) and bring the reply
- * (OnReply). It may be lost; it is asked again. */
+/** Query the agent of the grant's host (OnQuestion there) and deliver its reply
+ * (OnReply). Either message may be lost; the query is repeated. */
 struct AskHolder
 {
   std::string mKey;
   Grant mGrant;
 };
 
-/** Ask the agents of every member of the service, suspects too, with nonce 0,
- * and bring what they know (OnPeers). */
+/** Query the agents of all members of the service, including suspected ones,
+ * with nonce 0, and deliver the combined replies (OnPeers). */
 struct AskPeers
 {
   std::string mKey;
 };
 
-/** A change that a shard's home is asked to write. */
+/** A pending write that is sent to the shard's home. */
 struct ShardWish
 {
   std::string mKey;
   ChangeKind mKind = ChangeKind::Claim;
   Grant mGrant;
   Nonce mReplaces = 0;
-  /** With Claim: how long its holder waits. */
+  /** With Claim: how long the holder waits for the grant. */
   Duration mWithin{};
 };
 
-/** Send wishes to the agent of a shard's home (OnWishes there). They may be
- * lost or come twice; they are sent again. */
+/** Send pending writes to the agent of a shard's home (OnWishes there). They
+ * may be lost or duplicated; unanswered ones are sent again. */
 struct AskHome
 {
   HostId mHome;
   std::vector<ShardWish> mWishes;
 };
 
-/** Send outcomes of its wishes to an agent (OnOutcomes there). */
+/** Send the outcomes of an agent's pending writes to it (OnOutcomes there). */
 struct TellAgent
 {
   HostId mAgent;
   std::vector<ShardOutcome> mOutcomes;
-  /** With Down: when to ask this home again. */
+  /** With Down: when to try this home again. */
   Duration mRetryAfter{};
 };
 
 using RunOnceAction = std::variant<StoreCall, Granted, Duplicate, NotRun,
                                    Unknown, AskHolder, AskPeers>;
 
-/** What agents say to each other where shards have homes. */
+/** Messages between agents when shards have homes. */
 using HomeMessage = std::variant<AskHome, TellAgent>;
 
-/** What a host knows of a key, in reply to a question; a larger one is graver.
- */
+/** What a host knows of a key, in reply to a query. Where replies are combined,
+ * the largest value is used. */
 enum class KeyKnowledge : std::uint8_t
 {
-  /** Nothing; or with a nonce: that attempt is from before its restart. */
+  /** The key is unknown here. For a query with a nonce: the attempt is from
+   * before the host's restart. */
   None,
-  /** Nothing, but it started too lately to vouch that it never ran here. */
+  /** The key is unknown, but the process started too recently to confirm that
+   * it never ran here. */
   Unsure,
-  /** It is granted or running here, or may be soon. */
+  /** The key is being claimed, is granted or is running here. */
   Running,
-  /** It ended; the answer follows. */
+  /** The run ended; mAnswer holds its answer. */
   Answered,
-  /** It ended or was lost sight of; there is no answer. */
+  /** The run ended or its outcome can't be determined; there is no answer. */
   Ended,
-  /** That attempt was given up here before it was dispatched, for good. */
+  /** The attempt was given up before dispatch and is never dispatched. */
   GivenUp,
 };
 
--- a/src/record/RunOnceHomes.cpp
+++ b/src/record/RunOnceHomes.cpp
@@ -1,4 +1,4 @@
-// How agents let one of them write a shard for all.
+// Assigns each shard a home, the agent that writes it on behalf of all agents.
 #include <algorithm>
 #include <map>
 
@@ -24,93 +24,93 @@
   return HomeOf(aKey) == mHost;
 }
 
-void RunOnce::Want(const std::string& aKey, const ShardChange& aChange)
+void RunOnce::EnqueueWrite(const std::string& aKey, const ShardChange& aChange)
 {
-  RemoteWish wish{ aKey, aChange, {}, 0 };
+  RemoteWrite write{ aKey, aChange, {}, 0 };
   if (IsHome(aKey)) {
-    mRemote.erase(aChange.mGrant.mNonce);
-    WriteHere(wish);
+    mRemoteWrites.erase(aChange.mGrant.mNonce);
+    WriteLocally(write);
   } else {
-    mRemote[aChange.mGrant.mNonce] = wish;
+    mRemoteWrites[aChange.mGrant.mNonce] = write;
   }
 }
 
-void RunOnce::WriteHere(const RemoteWish& aWish)
+void RunOnce::WriteLocally(const RemoteWrite& aWrite)
 {
-  WriterOf(aWish.mKey).Want(aWish.mKey, aWish.mChange);
+  WriterOf(aWrite.mKey).Enqueue(aWrite.mKey, aWrite.mChange);
 }
 
-/** Failure met: the home of a shard is dead or out of reach, and claims wait
- * for it until their deadlines. Any agent may write any shard, since writes
- * are conditional; homes only spare the conflicts. So after a few tries the
- * shard is written from here. */
-void RunOnce::SendWishes(Time aNow)
+/** Guards against: a shard's home is dead or unreachable, and claims wait for
+ * it until their deadlines. After a few tries the shard is written locally.
+ * This is safe since writes are conditional; homes only avoid conflicts. */
+void RunOnce::SendRemoteWrites(Time aNow)
 {
   std::map<HostId, std::vector<ShardWish>> byHome;
-  for (auto it = mRemote.begin(); it != mRemote.end();) {
-    RemoteWish& wish = it->second;
-    bool due = wish.mSendAt <= aNow;
+  for (auto it = mRemoteWrites.begin(); it != mRemoteWrites.end();) {
+    RemoteWrite& write = it->second;
+    bool due = write.mSendAt <= aNow;
     if (!due) {
       ++it;
       continue;
     }
-    if (wish.mTries >= mOptions.mHomeTries) {
-      WriteHere(wish);
-      it = mRemote.erase(it);
+    if (write.mTries >= mOptions.mMaxHomeTries) {
+      WriteLocally(write);
+      it = mRemoteWrites.erase(it);
       continue;
     }
-    ++wish.mTries;
-    wish.mSendAt = aNow + mOptions.mHomeWait;
-    const ShardChange& change = wish.mChange;
-    byHome[HomeOf(wish.mKey)].push_back({ wish.mKey, change.mKind,
-                                          change.mGrant, change.mReplaces,
-                                          change.mUntil - aNow });
+    ++write.mTries;
+    write.mSendAt = aNow + mOptions.mHomeRetryInterval;
+    const ShardChange& change = write.mChange;
+    byHome[HomeOf(write.mKey)].push_back({ write.mKey, change.mKind,
+                                           change.mGrant, change.mReplaces,
+                                           change.mExpiresAt - aNow });
     ++it;
   }
-  for (auto& [home, wishes] : byHome) {
-    mHomeMessages.emplace_back(AskHome{ home, std::move(wishes) });
+  for (auto& [home, writes] : byHome) {
+    mHomeMessages.emplace_back(AskHome{ home, std::move(writes) });
   }
 }
 
-/** Failure met: a wish that was long on its way, or came twice, undoes what
- * its agent did since. It can't: each names one nonce, a claim replaces only a
- * nonce that its agent declared dead, and a claim that is written too late is
- * for a nonce that its agent no longer knows, and withdraws again. */
-void RunOnce::OnWishes(const std::vector<ShardWish>& aWishes, Time aNow)
+/** Guards against: a delayed or duplicated request to write undoes a later
+ * change of the same agent. Each request names one nonce, and a claim replaces
+ * only a nonce that its holder gave up. A claim that is written too late is for
+ * a nonce that its agent no longer knows and then withdraws. */
+void RunOnce::OnWishes(const std::vector<ShardWish>& aWrites, Time aNow)
 {
   std::vector<ShardOutcome> answers;
-  for (const ShardWish& it : aWishes) {
-    ShardOutcome said;
-    said.mKey = it.mKey;
-    said.mKind = it.mKind;
-    said.mHolder = it.mGrant.mHost;
-    said.mIncarnation = it.mGrant.mIncarnation;
-    said.mNonce = it.mGrant.mNonce;
-    said.mResult = ChangeResult::Down;
-    bool claim = it.mKind == ChangeKind::Claim;
-    if (claim && mGate.Refuses(aNow)) {
-      answers.push_back(said);
+  for (const ShardWish& it : aWrites) {
+    ShardOutcome outcome;
+    outcome.mKey = it.mKey;
+    outcome.mKind = it.mKind;
+    outcome.mHolder = it.mGrant.mHost;
+    outcome.mIncarnation = it.mGrant.mIncarnation;
+    outcome.mNonce = it.mGrant.mNonce;
+    outcome.mResult = ChangeResult::Down;
+    bool isClaim = it.mKind == ChangeKind::Claim;
+    if (isClaim && mGate.Refuses(aNow)) {
+      answers.push_back(outcome);
       continue;
     }
-    if (claim && IsTooSlowFor(it.mKey, aNow + it.mWithin, aNow)) {
-      said.mResult = ChangeResult::Slow;
-      answers.push_back(said);
+    if (isClaim && IsPlatformTooSlow(it.mKey, aNow + it.mWithin, aNow)) {
+      outcome.mResult = ChangeResult::Slow;
+      answers.push_back(outcome);
       continue;
     }
-    Time until = claim ? aNow + it.mWithin : Time::max();
-    Time due = claim ? aNow : aNow + mOptions.mAnswerLinger;
-    bool isNew = WriterOf(it.mKey).Want(
-      it.mKey, { it.mKind, it.mGrant, it.mReplaces, due, until });
+    Time expiresAt = isClaim ? aNow + it.mWithin : Time::max();
+    Time due = isClaim ? aNow : aNow + mOptions.mAnswerLinger;
+    bool isNew = WriterOf(it.mKey).Enqueue(
+      it.mKey, { it.mKind, it.mGrant, it.mReplaces, due, expiresAt });
     if (!isNew) {
-      said.mResult = ChangeResult::Queued;
-      answers.push_back(said);
+      outcome.mResult = ChangeResult::Queued;
+      answers.push_back(outcome);
     }
   }
-  Tell(answers, aNow);
-  Pump(aNow);
+  SendOutcomes(answers, aNow);
+  StartDueCalls(aNow);
 }
 
-void RunOnce::Tell(const std::vector<ShardOutcome>& aOutcomes, Time aNow)
+void RunOnce::SendOutcomes(const std::vector<ShardOutcome>& aOutcomes,
+                           Time aNow)
 {
   std::map<HostId, std::vector<ShardOutcome>> byAgent;
   for (const ShardOutcome& it : aOutcomes) {
@@ -129,33 +129,36 @@
                          Duration aRetryAfter, Time aNow)
 {
   for (const ShardOutcome& it : aOutcomes) {
-    // What a process before a restart may have dispatched is not ours to undo.
+    // An earlier incarnation may have dispatched the key, so that this one must
+    // not withdraw its grant.
     if (it.mIncarnation != mIncarnation) {
       continue;
     }
-    auto wish = mRemote.find(it.mNonce);
-    bool ours = wish != mRemote.end() && wish->second.mChange.mKind == it.mKind;
+    auto write = mRemoteWrites.find(it.mNonce);
+    bool isPending =
+      write != mRemoteWrites.end() && write->second.mChange.mKind == it.mKind;
     if (it.mResult == ChangeResult::Queued) {
-      if (ours) {
-        wish->second.mTries = 0;
-        wish->second.mSendAt = aNow + mOptions.mHomeQueuedWait;
+      if (isPending) {
+        write->second.mTries = 0;
+        write->second.mSendAt = aNow + mOptions.mHomeQueuedRetryInterval;
       }
       continue;
     }
-    if (ours) {
-      mRemote.erase(wish);
+    if (isPending) {
+      mRemoteWrites.erase(write);
     }
     bool down = it.mResult == ChangeResult::Down;
     mHomeDownUntil =
       down ? std::max(mHomeDownUntil, aNow + aRetryAfter) : mHomeDownUntil;
     OnOutcome(it, aNow);
-    WithdrawStray(it, aNow);
+    WithdrawUnknownGrant(it, aNow);
   }
-  Pump(aNow);
+  StartDueCalls(aNow);
 }
 
-/** A grant that came for an attempt that is no longer known here. */
-void RunOnce::WithdrawStray(const ShardOutcome& aOutcome, Time aNow)
+/** Withdraws a grant that was committed for an attempt that is no longer known
+ * here. */
+void RunOnce::WithdrawUnknownGrant(const ShardOutcome& aOutcome, Time aNow)
 {
   bool granted = aOutcome.mKind == ChangeKind::Claim &&
                  aOutcome.mResult == ChangeResult::Committed;
@@ -163,8 +166,8 @@
   bool known = it != mKeys.end() && it->second.mNonce == aOutcome.mNonce;
   if (granted && !known) {
     Grant grant{ mHost, mIncarnation, aOutcome.mNonce, false, std::nullopt };
-    Want(aOutcome.mKey,
-         { ChangeKind::Withdraw, grant, 0, aNow + mOptions.mAnswerLinger });
+    EnqueueWrite(aOutcome.mKey, { ChangeKind::Withdraw, grant, 0,
+                                  aNow + mOptions.mAnswerLinger });
   }
 }
 
--- a/src/record/RunOnceSteps.cpp
+++ b/src/record/RunOnceSteps.cpp
@@ -1,4 +1,4 @@
-// The parts of RunOnce that time and the platform move.
+// Answers, timeouts and platform calls of RunOnce.
 #include <algorithm>
 
 #include "src/record/RunOnce.h"
@@ -7,10 +7,10 @@
 
 namespace {
 
-/** A full shard has room again after a rotation, not in a moment. */
-constexpr Duration kFullShardRetry = std::chrono::minutes(1);
+/** Long, because a full shard has room only after its next rotation. */
+constexpr Duration kFullShardRetryAfter = std::chrono::minutes(1);
 
-/** True if the platform itself gave the answer, welcome or not. */
+/** True if the error is an answer of the platform, so that it is up. */
 bool IsAnswer(const Error& aError)
 {
   return aError.mKind == ErrorKind::NotFound ||
@@ -39,16 +39,17 @@
   return state != nullptr && state->mNonce == aNonce ? state : nullptr;
 }
 
-void RunOnce::SayNotRun(RequestToken aRequest, RunOnceReason aReason, Time aNow)
+void RunOnce::AnswerNotRun(RequestToken aRequest, RunOnceReason aReason,
+                           Time aNow)
 {
   ++mCounts[static_cast<std::size_t>(aReason)];
-  Duration after = aReason == RunOnceReason::ShardFull ? kFullShardRetry
+  Duration after = aReason == RunOnceReason::ShardFull ? kFullShardRetryAfter
                                                        : mGate.RetryAfter(aNow);
   after += std::max(Duration{}, mHomeDownUntil - aNow);
   mActions.emplace_back(NotRun{ aRequest, aReason, after });
 }
 
-void RunOnce::SayUnknown(RequestToken aRequest, RunOnceReason aReason)
+void RunOnce::AnswerUnknown(RequestToken aRequest, RunOnceReason aReason)
 {
   ++mCounts[static_cast<std::size_t>(aReason)];
   mActions.emplace_back(Unknown{ aRequest, aReason });
@@ -62,18 +63,19 @@
   aState.mWaiters.clear();
 }
 
-void RunOnce::UnknownToAll(KeyState& aState, RunOnceReason aReason)
+void RunOnce::AnswerUnknownToAll(KeyState& aState, RunOnceReason aReason)
 {
   for (const Waiter& it : aState.mWaiters) {
-    SayUnknown(it.mRequest, aReason);
+    AnswerUnknown(it.mRequest, aReason);
   }
   aState.mWaiters.clear();
 }
 
-void RunOnce::NotRunToAll(KeyState& aState, RunOnceReason aReason, Time aNow)
+void RunOnce::AnswerNotRunToAll(KeyState& aState, RunOnceReason aReason,
+                                Time aNow)
 {
   for (const Waiter& it : aState.mWaiters) {
-    SayNotRun(it.mRequest, aReason, aNow);
+    AnswerNotRun(it.mRequest, aReason, aNow);
   }
   aState.mWaiters.clear();
 }
@@ -88,7 +90,7 @@
   for (auto& [shard, writer] : mWriters) {
     writer.ReleaseIfIdle(aNow);
   }
-  Pump(aNow);
+  StartDueCalls(aNow);
 }
 
 void RunOnce::TickKey(const std::string& aKey, KeyState& aState, Time aNow)
@@ -97,12 +99,12 @@
     case Phase::Claiming:
       TickClaim(aKey, aState, aNow);
       break;
-    case Phase::Asking:
-      TickAsking(aKey, aState, aNow);
+    case Phase::QueryingHolder:
+      TickQueryingHolder(aKey, aState, aNow);
       break;
-    case Phase::AskingPeers:
+    case Phase::QueryingPeers:
       if (aNow - aState.mSince >= mOptions.mPeerWait) {
-        UnknownToAll(aState, RunOnceReason::PeersSilent);
+        AnswerUnknownToAll(aState, RunOnceReason::PeersSilent);
         Drop(aKey);
       }
       break;
@@ -110,7 +112,7 @@
       TickGranted(aKey, aState, aNow);
       break;
     case Phase::Running:
-      DropLateWaiters(aState, true, aNow);
+      DropExpiredWaiters(aState, true, aNow);
       break;
     case Phase::Ended:
       if (aState.mRecorded && aNow - aState.mSince >= mOptions.mKeepEnded) {
@@ -122,34 +124,38 @@
 
 void RunOnce::TickClaim(const std::string& aKey, KeyState& aState, Time aNow)
 {
-  auto next = std::ranges::min_element(aState.mWaiters, {}, &Waiter::mDeadline);
-  bool anyone = next != aState.mWaiters.end();
-  bool blind = !HasSeenShard(aKey, aState);
-  if (anyone && blind && aNow + mOptions.mPeerWait >= next->mDeadline) {
+  auto earliest =
+    std::ranges::min_element(aState.mWaiters, {}, &Waiter::mDeadline);
+  bool hasWaiters = earliest != aState.mWaiters.end();
+  bool shardUnread = !HasReadShard(aKey, aState);
+  if (hasWaiters && shardUnread &&
+      aNow + mOptions.mPeerWait >= earliest->mDeadline) {
     Withdraw(aKey, aState, aNow);
-    StartAskingPeers(aKey, aState, RunOnceReason::DeadlinePassed, aNow);
+    StartQueryingPeers(aKey, aState, RunOnceReason::DeadlinePassed, aNow);
     return;
   }
-  DropLateWaiters(aState, false, aNow);
+  DropExpiredWaiters(aState, false, aNow);
   if (aState.mWaiters.empty()) {
     Withdraw(aKey, aState, aNow);
     Drop(aKey);
   }
 }
 
-void RunOnce::TickAsking(const std::string& aKey, KeyState& aState, Time aNow)
+void RunOnce::TickQueryingHolder(const std::string& aKey, KeyState& aState,
+                                 Time aNow)
 {
-  bool silent = aState.mUnanswered > mOptions.mAskTries;
-  if (silent) {
-    UnknownToAll(aState, RunOnceReason::HolderSilent);
+  bool unresponsive =
+    aState.mUnansweredQueries > mOptions.mMaxUnansweredQueries;
+  if (unresponsive) {
+    AnswerUnknownToAll(aState, RunOnceReason::HolderSilent);
   }
-  DropLateWaiters(aState, true, aNow);
+  DropExpiredWaiters(aState, true, aNow);
   if (aState.mWaiters.empty()) {
     Drop(aKey);
     return;
   }
-  if (aNow - aState.mSince >= mOptions.mAskEvery) {
-    Ask(aKey, aState, aNow);
+  if (aNow - aState.mSince >= mOptions.mHolderQueryInterval) {
+    QueryHolder(aKey, aState, aNow);
   }
 }
 
@@ -159,49 +165,50 @@
   if (first.mDeadline > aNow) {
     return;
   }
-  SayNotRun(first.mRequest, RunOnceReason::HolderLate, aNow);
+  AnswerNotRun(first.mRequest, RunOnceReason::HolderLate, aNow);
   aState.mWaiters.erase(aState.mWaiters.begin());
-  PassOn(aKey, aState, aNow);
+  PassToNextWaiter(aKey, aState, aNow);
 }
 
-/** Failure met: a request is answered "not run" at its deadline, its grant is
- * committed a moment later, and it is dispatched after all. Shown as a false
- * not-run. It holds since a waiter that was answered is gone, and a grant
- * without waiters is withdrawn and never handed out. */
-void RunOnce::DropLateWaiters(KeyState& aState, bool aMayHaveRun, Time aNow)
+/** Guards against: a request is answered NotRun at its deadline, its grant is
+ * committed shortly after, and the request is dispatched. An answered waiter is
+ * removed, and a grant without waiters is withdrawn and never handed out. */
+void RunOnce::DropExpiredWaiters(KeyState& aState, bool aMayHaveRun, Time aNow)
 {
-  auto late = [&](const Waiter& aWaiter) {
+  auto isExpired = [&](const Waiter& aWaiter) {
     if (aWaiter.mDeadline > aNow) {
       return false;
     }
     if (aMayHaveRun) {
-      SayUnknown(aWaiter.mRequest, RunOnceReason::StillRunning);
+      AnswerUnknown(aWaiter.mRequest, RunOnceReason::StillRunning);
     } else {
-      SayNotRun(aWaiter.mRequest, RunOnceReason::DeadlinePassed, aNow);
+      AnswerNotRun(aWaiter.mRequest, RunOnceReason::DeadlinePassed, aNow);
     }
-    return aMayHaveRun || mOptions.mDropGivenUp;
+    return aMayHaveRun || mOptions.mDropExpiredWaiters;
   };
-  std::erase_if(aState.mWaiters, late);
+  std::erase_if(aState.mWaiters, isExpired);
 }
 
-bool RunOnce::HasSeenShard(const std::string& aKey, const KeyState& aState)
+bool RunOnce::HasReadShard(const std::string& aKey, const KeyState& aState)
 {
   ShardWriter& writer = WriterOf(aKey);
   if (!writer.IsClaiming(aKey, aState.mNonce)) {
     return false;
   }
-  std::uint64_t seenBy = writer.SeenBy();
-  return std::ranges::all_of(aState.mWaiters, [seenBy](const Waiter& aWaiter) {
-    return aWaiter.mCallsBefore < seenBy;
-  });
+  std::uint64_t contentCall = writer.ContentCall();
+  return std::ranges::all_of(aState.mWaiters,
+                             [contentCall](const Waiter& aWaiter) {
+                               return aWaiter.mCallsBefore < contentCall;
+                             });
 }
 
-bool RunOnce::IsTooSlowFor(const std::string& aKey, Time aDeadline, Time aNow)
+bool RunOnce::IsPlatformTooSlow(const std::string& aKey, Time aDeadline,
+                                Time aNow)
 {
   bool writeNext = WriterOf(aKey).NextIsWrite();
-  Duration expected = mGate.ExpectedCall(true, aNow);
+  Duration expected = mGate.ExpectedCallDuration(true, aNow);
   if (!writeNext) {
-    expected += mGate.ExpectedCall(false, aNow);
+    expected += mGate.ExpectedCallDuration(false, aNow);
   }
   return aNow + expected > aDeadline;
 }
@@ -225,30 +232,31 @@
   return n;
 }
 
-void RunOnce::Pump(Time aNow)
+void RunOnce::StartDueCalls(Time aNow)
 {
-  SendWishes(aNow);
-  // Round robin over the shards: when tokens are short, what waits longest
-  // goes first, and the claims that join it meanwhile share its write.
+  SendRemoteWrites(aNow);
+  // Round robin over the shards: when tokens are short, the shard that has
+  // waited longest goes first. Claims that arrive meanwhile share its write.
   auto start = mWriters.lower_bound(mNextShard);
   for (auto it = start; it != mWriters.end(); ++it) {
-    if (!PumpShard(it->first, it->second, aNow)) {
+    if (!StartDueCall(it->first, it->second, aNow)) {
       return;
     }
   }
   for (auto it = mWriters.begin(); it != start; ++it) {
-    if (!PumpShard(it->first, it->second, aNow)) {
+    if (!StartDueCall(it->first, it->second, aNow)) {
       return;
     }
   }
 }
 
-bool RunOnce::PumpShard(std::uint32_t aShard, ShardWriter& aWriter, Time aNow)
+bool RunOnce::StartDueCall(std::uint32_t aShard, ShardWriter& aWriter,
+                           Time aNow)
 {
   if (!aWriter.IsDue(aNow)) {
     return true;
   }
-  Settle(aWriter.Review(aNow), aNow);
+  ApplyOutcomes(aWriter.SettleFromContent(aNow), aNow);
   if (!aWriter.IsDue(aNow)) {
     return true;
   }
@@ -260,87 +268,89 @@
   ++(isWrite ? mWrites : mReads);
   ShardCall call = aWriter.Start(aNow);
   CallTicket ticket = mNextTicket++;
-  mFlights[ticket] = { aShard, aNow };
+  mCallsInFlight[ticket] = { aShard, aNow };
   std::string object = mOptions.mPrefix + "/" + std::to_string(aShard);
   mActions.emplace_back(StoreCall{ ticket, std::move(object), call.mIsWrite,
                                    std::move(call.mValue), call.mCondition });
   return true;
 }
 
-ShardWriter* RunOnce::Land(CallTicket aTicket, bool aAnswered, Time aNow)
+ShardWriter* RunOnce::CompleteCall(CallTicket aTicket, bool aAnswered,
+                                   Time aNow)
 {
-  auto it = mFlights.find(aTicket);
-  if (it == mFlights.end()) {
+  auto it = mCallsInFlight.find(aTicket);
+  if (it == mCallsInFlight.end()) {
     return nullptr;
   }
-  Flight flight = it->second;
-  mFlights.erase(it);
+  CallInFlight call = it->second;
+  mCallsInFlight.erase(it);
   if (aAnswered) {
-    mGate.OnAnswer(aNow - flight.mStarted, aNow);
+    mGate.OnAnswer(aNow - call.mStarted, aNow);
   } else {
     mGate.OnFailure(aNow);
   }
-  return &mWriters.at(flight.mShard);
+  return &mWriters.at(call.mShard);
 }
 
 void RunOnce::OnGet(CallTicket aTicket, const Result<Object>& aResult,
                     Time aNow)
 {
   bool answered = aResult.has_value() || IsAnswer(aResult.error());
-  ShardWriter* writer = Land(aTicket, answered, aNow);
+  ShardWriter* writer = CompleteCall(aTicket, answered, aNow);
   if (writer == nullptr) {
     return;
   }
-  Settle(writer->OnGet(aResult, aNow), aNow);
-  RefuseIfDown(aNow);
-  Pump(aNow);
+  ApplyOutcomes(writer->OnGet(aResult, aNow), aNow);
+  RefuseClaimsIfDown(aNow);
+  StartDueCalls(aNow);
 }
 
 void RunOnce::OnPut(CallTicket aTicket, const Result<std::uint64_t>& aResult,
                     Time aNow)
 {
   bool answered = aResult.has_value() || IsAnswer(aResult.error());
-  ShardWriter* writer = Land(aTicket, answered, aNow);
+  ShardWriter* writer = CompleteCall(aTicket, answered, aNow);
   if (writer == nullptr) {
     return;
   }
-  Settle(writer->OnPut(aResult, aNow), aNow);
-  RefuseIfDown(aNow);
-  Pump(aNow);
+  ApplyOutcomes(writer->OnPut(aResult, aNow), aNow);
+  RefuseClaimsIfDown(aNow);
+  StartDueCalls(aNow);
 }
 
-void RunOnce::Settle(const std::vector<ShardOutcome>& aOutcomes, Time aNow)
+void RunOnce::ApplyOutcomes(const std::vector<ShardOutcome>& aOutcomes,
+                            Time aNow)
 {
   for (const ShardOutcome& it : aOutcomes) {
     OnOutcome(it, aNow);
   }
-  Tell(aOutcomes, aNow);
+  SendOutcomes(aOutcomes, aNow);
 }
 
-/** Requests that wait for a grant when the breaker opens are given up then and
- * there, not at their deadlines. */
-void RunOnce::RefuseIfDown(Time aNow)
+/** When the breaker opens, gives up pending claims at once instead of at their
+ * deadlines. */
+void RunOnce::RefuseClaimsIfDown(Time aNow)
 {
   if (!mGate.Refuses(aNow)) {
     return;
   }
   for (auto& [shard, writer] : mWriters) {
-    Tell(writer.RefuseClaims(mHost), aNow);
+    SendOutcomes(writer.RefuseClaims(mHost), aNow);
   }
   for (auto it = mKeys.begin(); it != mKeys.end();) {
     auto& [key, state] = *it;
     ++it;
-    bool remote = mRemote.contains(state.mNonce);
+    bool remote = mRemoteWrites.contains(state.mNonce);
     if (state.mPhase != Phase::Claiming || remote) {
       continue;
     }
-    bool seen = HasSeenShard(key, state);
+    bool shardRead = HasReadShard(key, state);
     Withdraw(key, state, aNow);
-    if (seen) {
-      NotRunToAll(state, RunOnceReason::PlatformDown, aNow);
+    if (shardRead) {
+      AnswerNotRunToAll(state, RunOnceReason::PlatformDown, aNow);
       Drop(key);
     } else {
-      StartAskingPeers(key, state, RunOnceReason::PlatformDown, aNow);
+      StartQueryingPeers(key, state, RunOnceReason::PlatformDown, aNow);
     }
   }
 }
--- a/src/record/ShardWriter.cpp
+++ b/src/record/ShardWriter.cpp
@@ -27,12 +27,12 @@
 {
 }
 
-bool ShardWriter::Want(const std::string& aKey, const ShardChange& aChange)
+bool ShardWriter::Enqueue(const std::string& aKey, const ShardChange& aChange)
 {
-  Wish& wish = mWanted[{ aKey, aChange.mGrant.mNonce }];
-  bool repeated = wish.mStamp != 0 && wish.mChange.mKind == aChange.mKind;
+  PendingWrite& write = mPending[{ aKey, aChange.mGrant.mNonce }];
+  bool repeated = write.mSequence != 0 && write.mChange.mKind == aChange.mKind;
   if (!repeated) {
-    wish = { aChange, mNextStamp++ };
+    write = { aChange, mNextSequence++ };
   }
   return !repeated;
 }
@@ -40,26 +40,26 @@
 void ShardWriter::GiveUp(const std::string& aKey, const Grant& aGrant,
                          Time aDue)
 {
-  WishKey wish{ aKey, aGrant.mNonce };
-  const Grant* present = mSeen.Find(aKey);
+  PendingKey write{ aKey, aGrant.mNonce };
+  const Grant* present = mContent.Find(aKey);
   bool landed = present != nullptr && present->mNonce == aGrant.mNonce;
-  if (landed || mLimbo || mBatch.contains(wish)) {
-    Want(aKey, { ChangeKind::Withdraw, aGrant, 0, aDue });
+  if (landed || mInDoubtVersion || mBatch.contains(write)) {
+    Enqueue(aKey, { ChangeKind::Withdraw, aGrant, 0, aDue });
   } else {
-    mWanted.erase(wish);
+    mPending.erase(write);
   }
 }
 
 bool ShardWriter::IsClaiming(const std::string& aKey, Nonce aNonce) const
 {
-  auto it = mWanted.find({ aKey, aNonce });
-  return it != mWanted.end() && it->second.mChange.mKind == ChangeKind::Claim;
+  auto it = mPending.find({ aKey, aNonce });
+  return it != mPending.end() && it->second.mChange.mKind == ChangeKind::Claim;
 }
 
 std::vector<ShardOutcome> ShardWriter::RefuseClaims(HostId aExcept)
 {
   std::vector<ShardOutcome> out;
-  for (auto it = mWanted.begin(); it != mWanted.end();) {
+  for (auto it = mPending.begin(); it != mPending.end();) {
     const ShardChange& change = it->second.mChange;
     bool refused =
       change.mKind == ChangeKind::Claim && change.mGrant.mHost != aExcept;
@@ -68,30 +68,30 @@
       continue;
     }
     out.push_back(OutcomeOf(it->first.mKey, change, ChangeResult::Down));
-    it = mWanted.erase(it);
+    it = mPending.erase(it);
   }
   return out;
 }
 
-/** Failure met: a home takes out a grant whose claim came to it twice, the
- * second time past its deadline, while its holder runs the key. Shown as a key
- * that ran twice. So an expired claim is forgotten and never withdrawn: only
- * its holder can say that a nonce is dead. */
-void ShardWriter::DropExpired(Time aNow)
+/** Guards against: a home receives a claim twice, the second time past its
+ * deadline, and withdraws the grant while its holder runs the key, which can
+ * then run twice. An expired claim is dropped without withdrawing its grant,
+ * since only the holder knows that a nonce was given up. */
+void ShardWriter::DropExpiredClaims(Time aNow)
 {
-  std::erase_if(mWanted, [aNow](const auto& aWish) {
-    const ShardChange& change = aWish.second.mChange;
-    return change.mKind == ChangeKind::Claim && change.mUntil <= aNow;
+  std::erase_if(mPending, [aNow](const auto& aWrite) {
+    const ShardChange& change = aWrite.second.mChange;
+    return change.mKind == ChangeKind::Claim && change.mExpiresAt <= aNow;
   });
 }
 
 void ShardWriter::ReleaseIfIdle(Time aNow)
 {
-  bool idle = !mBusy && mWanted.empty() && mFresh &&
-              aNow - mSeenAt >= mOptions.mKeepContent;
+  bool idle = !mBusy && mPending.empty() && mContentUsable &&
+              aNow - mContentAt >= mOptions.mContentRetention;
   if (idle) {
-    mFresh = false;
-    mSeen = {};
+    mContentUsable = false;
+    mContent = {};
     mProposed = {};
   }
 }
@@ -101,21 +101,21 @@
   if (mBusy) {
     return false;
   }
-  return std::ranges::any_of(mWanted, [aNow](const auto& aWish) {
-    return aWish.second.mChange.mDue <= aNow;
+  return std::ranges::any_of(mPending, [aNow](const auto& aWrite) {
+    return aWrite.second.mChange.mDue <= aNow;
   });
 }
 
 bool ShardWriter::NextIsWrite() const
 {
-  return mFresh;
+  return mContentUsable;
 }
 
 ShardCall ShardWriter::Start(Time aNow)
 {
   mBusy = true;
-  ++mStarted;
-  if (!mFresh) {
+  ++mCallsStarted;
+  if (!mContentUsable) {
     return {};
   }
   return StartWrite(aNow);
@@ -123,24 +123,24 @@
 
 ShardCall ShardWriter::StartWrite(Time aNow)
 {
-  mProposed = mSeen;
+  mProposed = mContent;
   RotateIfDue(mProposed, aNow);
   mBatch.clear();
-  for (const auto& [key, wish] : mWanted) {
+  for (const auto& [key, write] : mPending) {
     if (mBatch.size() == mOptions.mMaxBatch) {
       break;
     }
-    if (Apply(mProposed, key.mKey, wish.mChange)) {
-      mBatch.emplace_hint(mBatch.end(), key, wish);
+    if (Apply(mProposed, key.mKey, write.mChange)) {
+      mBatch.emplace_hint(mBatch.end(), key, write);
     }
   }
   return { true, mProposed.Encode(), Condition() };
 }
 
-/** Failure met: two agents grant one key at once, or a holder that slept since
- * it read writes over what came after. Shown as a key that ran twice. It holds
- * since the platform takes a write only on top of the version that the writer
- * has read, in which the key had no grant. */
+/** Guards against: two agents grant one key at the same time, or a process that
+ * was stalled since its read overwrites newer content, and a key runs twice.
+ * The platform accepts a write only if the object is still at the version that
+ * the writer has read, in which the key had no grant. */
 WriteCondition ShardWriter::Condition() const
 {
   if (!mOptions.mConditional) {
@@ -154,22 +154,22 @@
                         const ShardChange& aChange) const
 {
   const Grant* present = aShard.Find(aKey);
-  bool ours = present != nullptr && present->mNonce == aChange.mGrant.mNonce;
+  bool isOurs = present != nullptr && present->mNonce == aChange.mGrant.mNonce;
   if (aChange.mKind == ChangeKind::Claim) {
-    bool free = present == nullptr || ours ||
+    bool free = present == nullptr || isOurs ||
                 (present->mNonce == aChange.mReplaces && !present->mAnswered);
     if (free) {
       aShard.Set(aKey, aChange.mGrant);
     }
     return free;
   }
-  if (ours && aChange.mKind == ChangeKind::Withdraw) {
+  if (isOurs && aChange.mKind == ChangeKind::Withdraw) {
     if (!present->mAnswered) {
       aShard.Remove(aKey);
     }
-  } else if (ours) {
+  } else if (isOurs) {
     Grant answered = aChange.mGrant;
-    if (aShard.EncodedBound() >= mOptions.mAnswersUntil) {
+    if (aShard.EncodedBound() >= mOptions.mMaxBytesWithAnswers) {
       answered.mAnswer.reset();
     }
     aShard.Set(aKey, answered);
@@ -177,32 +177,34 @@
   return true;
 }
 
-/** Failure met: grants pile up until the object is full and no claim runs any
- * more. Shown by refusals as shard_full. Retention is counted by each process
- * from when it first saw the generation, so it is never shorter than set, and
- * no clocks are compared; it rides on a write that happens anyway, so no herd
- * of collectors forms. */
+/** Guards against: grants accumulate until the object is full, and all claims
+ * are refused as shard_full. Each process measures retention from when it first
+ * saw the generation, so retention is never shorter than configured and no
+ * clocks are compared. The rotation is part of a write that is made anyway, so
+ * processes don't all write at once to rotate. */
 void ShardWriter::RotateIfDue(GrantShard& aShard, Time aNow)
 {
-  if (aNow - mGenerationSince >= mOptions.mGeneration) {
+  if (aNow - mGenerationSince >= mOptions.mGenerationDuration) {
     aShard.Rotate();
   }
 }
 
-void ShardWriter::Adopt(GrantShard aShard, std::uint64_t aVersion, Time aNow)
+void ShardWriter::SetContent(GrantShard aShard, std::uint64_t aVersion,
+                             Time aNow)
 {
-  mSeen = std::move(aShard);
+  mContent = std::move(aShard);
   mVersion = aVersion;
-  mFresh = true;
-  mSeenAt = aNow;
-  mSeenBy = mStarted;
-  if (mGenerationSeen != mSeen.Generation()) {
-    mGenerationSeen = mSeen.Generation();
+  mContentUsable = true;
+  mContentAt = aNow;
+  mContentCall = mCallsStarted;
+  if (mLastGeneration != mContent.Generation()) {
+    mLastGeneration = mContent.Generation();
     mGenerationSince = aNow;
   }
-  // A write still under way on top of an older version can't land any more.
-  if (mLimbo && *mLimbo != aVersion) {
-    mLimbo.reset();
+  // A write in flight that is based on another version can't be committed any
+  // more.
+  if (mInDoubtVersion && *mInDoubtVersion != aVersion) {
+    mInDoubtVersion.reset();
   }
 }
 
@@ -214,28 +216,28 @@
     if (aResult.error().mKind != ErrorKind::NotFound) {
       return {};
     }
-    Adopt({}, 0, aNow);
-    return Review(aNow);
+    SetContent({}, 0, aNow);
+    return SettleFromContent(aNow);
   }
   auto shard = GrantShard::Decode(aResult->mValue);
   if (!shard) {
     return {};
   }
-  Adopt(std::move(*shard), aResult->mVersion, aNow);
-  return Review(aNow);
+  SetContent(std::move(*shard), aResult->mVersion, aNow);
+  return SettleFromContent(aNow);
 }
 
-/** Failure met: the answer to a write is lost after the write took effect, or
- * before. Taken for done, a key may run that another agent was granted; taken
- * for undone, "not run" may be false. Shown as run twice. It holds since only
- * reading back settles it: our nonce is in the object or it is not, and a
- * write that may still land can't once the version has moved on. */
+/** Guards against: the answer to a write is lost, before or after the write
+ * took effect. If it is assumed to be committed, a key that another agent was
+ * granted may run twice; if not, a NotRun answer may be false. Such a write is
+ * settled only by reading the object back and looking for the nonce. A write
+ * that may still be committed fails once the version has changed. */
 std::vector<ShardOutcome> ShardWriter::OnPut(
   const Result<std::uint64_t>& aResult, Time aNow)
 {
   mBusy = false;
   if (aResult) {
-    Adopt(std::move(mProposed), *aResult, aNow);
+    SetContent(std::move(mProposed), *aResult, aNow);
     return SettleBatch();
   }
   switch (aResult.error().mKind) {
@@ -245,48 +247,51 @@
     case ErrorKind::Conflict:
       mBatch.clear();
       ++mConflicts;
-      mFresh = false;
+      mContentUsable = false;
       return {};
     default:
       break;
   }
-  mFresh = false;
-  mLimbo = mVersion;
+  mContentUsable = false;
+  mInDoubtVersion = mVersion;
   return mOptions.mReadBack ? std::vector<ShardOutcome>{} : SettleBatch();
 }
 
 std::vector<ShardOutcome> ShardWriter::SettleBatch()
 {
   std::vector<ShardOutcome> out;
-  for (const auto& [key, wish] : mBatch) {
-    auto it = mWanted.find(key);
-    bool current = it != mWanted.end() && it->second.mStamp == wish.mStamp;
+  for (const auto& [key, write] : mBatch) {
+    auto it = mPending.find(key);
+    bool current =
+      it != mPending.end() && it->second.mSequence == write.mSequence;
     if (current) {
-      out.push_back(OutcomeOf(key.mKey, wish.mChange, ChangeResult::Committed));
-      mWanted.erase(it);
+      out.push_back(
+        OutcomeOf(key.mKey, write.mChange, ChangeResult::Committed));
+      mPending.erase(it);
     }
   }
   mBatch.clear();
   return out;
 }
 
-std::vector<ShardOutcome> ShardWriter::Review(Time aNow)
+std::vector<ShardOutcome> ShardWriter::SettleFromContent(Time aNow)
 {
   std::vector<ShardOutcome> out;
-  DropExpired(aNow);
-  if (!mFresh) {
+  DropExpiredClaims(aNow);
+  if (!mContentUsable) {
     return out;
   }
-  for (auto it = mWanted.begin(); it != mWanted.end();) {
+  for (auto it = mPending.begin(); it != mPending.end();) {
     auto settled = Settle(it->first.mKey, it->second.mChange, aNow);
     if (!settled) {
       ++it;
       continue;
     }
-    // Another process may have made room since: look again next time.
-    mFresh = mFresh && settled->mResult != ChangeResult::Full;
+    // Another process may have made room since, so read again before the next
+    // write.
+    mContentUsable = mContentUsable && settled->mResult != ChangeResult::Full;
     out.push_back(std::move(*settled));
-    it = mWanted.erase(it);
+    it = mPending.erase(it);
   }
   return out;
 }
@@ -298,16 +303,16 @@
   if (aChange.mKind == ChangeKind::Claim) {
     return SettleClaim(aKey, aChange, aNow);
   }
-  const Grant* present = mSeen.Find(aKey);
-  bool ours = present != nullptr && present->mNonce == aChange.mGrant.mNonce;
-  if (ours && present->mAnswered) {
+  const Grant* present = mContent.Find(aKey);
+  bool isOurs = present != nullptr && present->mNonce == aChange.mGrant.mNonce;
+  if (isOurs && present->mAnswered) {
     bool answer = aChange.mKind == ChangeKind::Answer;
     return OutcomeOf(aKey, aChange,
                      answer ? ChangeResult::Committed : ChangeResult::Gone);
   }
-  // While a write of ours may still land, absence is no proof; the next write
-  // moves the version on, and then it is.
-  if (ours || mLimbo) {
+  // While a write may still be committed, absence of the grant is no proof. The
+  // next write changes the version, after which it is.
+  if (isOurs || mInDoubtVersion) {
     return std::nullopt;
   }
   return OutcomeOf(aKey, aChange, ChangeResult::Gone);
@@ -317,10 +322,10 @@
                                                      const ShardChange& aChange,
                                                      Time aNow) const
 {
-  const Grant* present = mSeen.Find(aKey);
+  const Grant* present = mContent.Find(aKey);
   if (present == nullptr) {
-    if (mSeen.HasFaded(aKey)) {
-      return OutcomeOf(aKey, aChange, ChangeResult::Faded);
+    if (mContent.HasExpired(aKey)) {
+      return OutcomeOf(aKey, aChange, ChangeResult::Expired);
     }
     if (IsFull(aNow)) {
       return OutcomeOf(aKey, aChange, ChangeResult::Full);
@@ -340,8 +345,8 @@
 
 bool ShardWriter::IsFull(Time aNow) const
 {
-  bool rotates = aNow - mGenerationSince >= mOptions.mGeneration;
-  return !rotates && mSeen.EncodedBound() >= mOptions.mFullAt;
+  bool rotates = aNow - mGenerationSince >= mOptions.mGenerationDuration;
+  return !rotates && mContent.EncodedBound() >= mOptions.mMaxBytesForGrants;
 }
 
 } // namespace heatherplank
--- a/src/record/ShardWriter.h
+++ b/src/record/ShardWriter.h
@@ -14,14 +14,14 @@
 
 namespace heatherplank {
 
-/** What this process wants of a key in its shard. */
+/** The kind of a change to a key's grant. */
 enum class ChangeKind : std::uint8_t
 {
-  /** The grant should be there, under our nonce. */
+  /** Adds a grant under the change's nonce. */
   Claim,
-  /** The answer should stand with our grant. */
+  /** Adds the answer to the grant with the change's nonce. */
   Answer,
-  /** Our nonce was given up: its grant should not be there. */
+  /** Removes the grant with the change's nonce, which was given up. */
   Withdraw,
 };
 
@@ -29,33 +29,34 @@
 {
   ChangeKind mKind = ChangeKind::Claim;
   Grant mGrant;
-  /** With Claim: a grant whose holder gave it up, and which may be replaced;
-   * 0 for none. */
+  /** With Claim: the nonce of a grant that may be replaced, since its holder
+   * gave it up; 0 for none. */
   Nonce mReplaces = 0;
-  /** When to write it at the latest. */
+  /** When a write must be started for this change; an earlier write also
+   * carries it. */
   Time mDue{};
-  /** With Claim: when its holder gives it up by itself. */
-  Time mUntil = Time::max();
+  /** With Claim: when the holder stops waiting for the grant. */
+  Time mExpiresAt = Time::max();
 };
 
-/** How a change came out. */
+/** The result of a change. */
 enum class ChangeResult : std::uint8_t
 {
-  /** It is in the platform. */
+  /** The change is stored in the platform. */
   Committed,
-  /** With Claim: another grant is there. */
+  /** With Claim: the key has another grant. */
   Taken,
-  /** With Claim: the key had a grant that was dropped after its retention. */
-  Faded,
+  /** With Claim: the key had a grant that has expired. */
+  Expired,
   /** With Claim: the shard is full. */
   Full,
   /** With Answer or Withdraw: nothing is left to change. */
   Gone,
   /** With Claim: the platform is down. */
   Down,
-  /** With Claim: the platform won't answer in time. */
+  /** With Claim: the platform is too slow for the deadline. */
   Slow,
-  /** Not settled yet; the home has it and will say. */
+  /** The change is pending at the home, which reports its outcome later. */
   Queued,
 };
 
@@ -63,16 +64,16 @@
 {
   std::string mKey;
   ChangeKind mKind = ChangeKind::Claim;
-  /** Whose change it was, and the nonce that it named. */
+  /** The holder and nonce that the change named. */
   HostId mHolder;
   Incarnation mIncarnation = 0;
   Nonce mNonce = 0;
   ChangeResult mResult = ChangeResult::Committed;
-  /** With Taken: the grant that is there. */
+  /** With Taken: the key's present grant. */
   Grant mPresent;
 };
 
-/** A platform call that a writer wants made. */
+/** A platform call for the driver to make. */
 struct ShardCall
 {
   bool mIsWrite = false;
@@ -82,93 +83,97 @@
 
 struct ShardWriterOptions
 {
-  /** Bytes of a value above which no grant is added. */
-  std::size_t mFullAt = 800000;
-  /** Bytes above which answers are no longer kept in it; what is left up to
-   * the platform's limit holds the largest batch. */
-  std::size_t mAnswersUntil = 900000;
-  /** Most changes of one write. */
+  /** Size of the encoded value, in bytes, from which no grant is added. */
+  std::size_t mMaxBytesForGrants = 800000;
+  /** Size in bytes from which answers are no longer stored. The rest, up to the
+   * platform's limit, has room for the largest batch. */
+  std::size_t mMaxBytesWithAnswers = 900000;
+  /** Maximum number of changes in one write. */
   std::size_t mMaxBatch = 500;
-  /** A generation lasts at least this long; a grant is kept in full for one to
-   * two of them and as a hash for one more. */
-  Duration mGeneration = std::chrono::hours(24);
-  /** Content that was not used for this long is let go, since 64 full shards
-   * would take more memory than the process has; it is read again. */
-  Duration mKeepContent = std::chrono::minutes(1);
-  /** Guard switch: off, writes are unconditional. */
+  /** Minimum duration of a generation. A grant is retained in full for one to
+   * two generations, and as a hash for one more. */
+  Duration mGenerationDuration = std::chrono::hours(24);
+  /** Cached content is released after this long without use, since 64 full
+   * shards exceed the memory of the process; it is read again when needed. */
+  Duration mContentRetention = std::chrono::minutes(1);
+  /** Test switch: if false, writes are unconditional. */
   bool mConditional = true;
-  /** Guard switch: off, a write of unknown effect counts as done. */
+  /** Test switch: if false, a write without an answer counts as committed. */
   bool mReadBack = true;
 };
 
-/** Brings one shard's object to what this process wants of it: all that waits
- * goes in one conditional write (group commit). Pure; one call at a time. Not
- * thread safe.
+/** Writes pending changes to one shard's object. All pending changes go into
+ * one conditional write (group commit), with one call in flight at a time. No
+ * I/O or clock access; not thread safe.
  */
 class ShardWriter
 {
 public:
   explicit ShardWriter(const ShardWriterOptions& aOptions);
 
-  /** Wants a change of a key, in place of what it wanted for the same nonce;
-   * false if it is wanted already. */
-  bool Want(const std::string& aKey, const ShardChange& aChange);
-  /** No longer wants to claim a key under aGrant's nonce: forgets the claim if
-   * no write can have carried it, or else wants it withdrawn by aDue. */
+  /** Queues a change of a key, replacing a pending change of another kind for
+   * the same nonce. False if a change of this kind is pending already. */
+  bool Enqueue(const std::string& aKey, const ShardChange& aChange);
+  /** Gives up the claim of a key under aGrant's nonce. If a write may have
+   * carried the claim, queues a withdrawal due at aDue; otherwise drops it. */
   void GiveUp(const std::string& aKey, const Grant& aGrant, Time aDue);
-  /** Settles what the content last seen settles. Call it before Start. */
-  std::vector<ShardOutcome> Review(Time aNow);
-  /** True if a claim of a key under a nonce waits here. */
+  /** Returns the outcomes of the pending changes that the cached content
+   * already settles, and drops expired claims. Call it before Start. */
+  std::vector<ShardOutcome> SettleFromContent(Time aNow);
+  /** True if a claim of the key under the nonce is pending. */
   bool IsClaiming(const std::string& aKey, Nonce aNonce) const;
-  /** Forgets the claims of all holders but one, with Down. A write under way
-   * may still commit them, which is for their holders to undo. */
+  /** Drops the pending claims of all holders but aExcept, with the outcome
+   * Down. A write in flight may still commit them; their holders then withdraw
+   * them.
+   */
   std::vector<ShardOutcome> RefuseClaims(HostId aExcept);
 
   /** True if a call should be made now. */
   bool IsDue(Time aNow) const;
   /** True if the next call would be a write. */
   bool NextIsWrite() const;
-  /** The call to make. Precondition: IsDue. Until its answer comes (OnGet,
-   * OnPut) no other is due. */
+  /** Returns the call to make. Precondition: IsDue. No other call is due until
+   * its answer is delivered (OnGet, OnPut). */
   ShardCall Start(Time aNow);
 
-  /** The answers; each gives the outcomes that it settled. */
+  /** Deliver an answer; they return the outcomes that it settles. */
   std::vector<ShardOutcome> OnGet(const Result<Object>& aResult, Time aNow);
   std::vector<ShardOutcome> OnPut(const Result<std::uint64_t>& aResult,
                                   Time aNow);
 
-  /** Lets the content go if it was not used for long. */
+  /** Releases the cached content if it was not used for mContentRetention. */
   void ReleaseIfIdle(Time aNow);
-  /** True if the content last seen is held. */
-  bool HoldsContent() const { return mFresh; }
+  /** True if usable content is cached. */
+  bool HoldsContent() const { return mContentUsable; }
   bool IsBusy() const { return mBusy; }
-  /** Calls started so far, and the one whose answer gave the content last
-   * seen: a call that was started before some moment proves nothing of it. */
-  std::uint64_t Started() const { return mStarted; }
-  std::uint64_t SeenBy() const { return mSeenBy; }
-  std::size_t Waiting() const { return mWanted.size(); }
-  /** Conditional writes that lost a race. */
+  /** Number of calls started, and the ordinal of the call whose answer gave the
+   * cached content. Content from a call that was started before an event may
+   * not reflect that event. */
+  std::uint64_t CallsStarted() const { return mCallsStarted; }
+  std::uint64_t ContentCall() const { return mContentCall; }
+  std::size_t PendingCount() const { return mPending.size(); }
+  /** Number of conditional writes that failed with a conflict. */
   std::uint64_t Conflicts() const { return mConflicts; }
 
 private:
-  struct Wish
+  struct PendingWrite
   {
     ShardChange mChange;
-    /** Grows with each Want, to tell what a write in flight carried. */
-    std::uint64_t mStamp = 0;
+    /** Sequence number, to recognise the changes that a write carried. */
+    std::uint64_t mSequence = 0;
   };
-  struct WishKey
+  struct PendingKey
   {
     std::string mKey;
     Nonce mNonce = 0;
-    auto operator<=>(const WishKey&) const = default;
+    auto operator<=>(const PendingKey&) const = default;
   };
-  using Wishes = std::map<WishKey, Wish>;
+  using PendingWrites = std::map<PendingKey, PendingWrite>;
 
   ShardCall StartWrite(Time aNow);
-  void Adopt(GrantShard aShard, std::uint64_t aVersion, Time aNow);
+  void SetContent(GrantShard aShard, std::uint64_t aVersion, Time aNow);
   void RotateIfDue(GrantShard& aShard, Time aNow);
-  /** Makes the change; false if another grant is in a claim's way. */
+  /** Applies the change; false if another grant prevents a claim. */
   bool Apply(GrantShard& aShard, const std::string& aKey,
              const ShardChange& aChange) const;
   std::optional<ShardOutcome> Settle(const std::string& aKey,
@@ -178,30 +183,32 @@
                                           const ShardChange& aChange,
                                           Time aNow) const;
   bool IsFull(Time aNow) const;
-  void DropExpired(Time aNow);
+  void DropExpiredClaims(Time aNow);
   std::vector<ShardOutcome> SettleBatch();
   WriteCondition Condition() const;
 
   const ShardWriterOptions mOptions;
-  Wishes mWanted;
-  std::uint64_t mNextStamp = 1;
+  PendingWrites mPending;
+  std::uint64_t mNextSequence = 1;
   bool mBusy = false;
-  /** The content last seen, at mVersion (0 for absent), is worth a write. */
-  bool mFresh = false;
-  Time mSeenAt{};
-  GrantShard mSeen;
+  /** True if mContent, at mVersion (0 if absent), can be the base of a write.
+   */
+  bool mContentUsable = false;
+  Time mContentAt{};
+  GrantShard mContent;
   std::uint64_t mVersion = 0;
-  /** The write in flight: its content and the wishes that it carries. */
+  /** The write in flight: its content and the changes that it carries. */
   GrantShard mProposed;
-  Wishes mBatch;
-  /** A write on top of this version may still land. */
-  std::optional<std::uint64_t> mLimbo;
-  /** When the generation was first seen by this process. */
+  PendingWrites mBatch;
+  /** Base version of a write without an answer, which may still be committed.
+   */
+  std::optional<std::uint64_t> mInDoubtVersion;
+  /** When this process first saw the current generation. */
   Time mGenerationSince{};
-  std::optional<std::uint64_t> mGenerationSeen;
+  std::optional<std::uint64_t> mLastGeneration;
   std::uint64_t mConflicts = 0;
-  std::uint64_t mStarted = 0;
-  std::uint64_t mSeenBy = 0;
+  std::uint64_t mCallsStarted = 0;
+  std::uint64_t mContentCall = 0;
 };
 
 } // namespace heatherplank
--- a/tests/RunOnceTest.cpp
+++ b/tests/RunOnceTest.cpp
@@ -1,6 +1,6 @@
 #include <cstdio>
 
-#include "tests/RunOnceWorld.h"
+#include "tests/RunOnceSimulation.h"
 
 #include <CppUTest/TestHarness.h>
 
@@ -30,21 +30,21 @@
   int mUnknown = 0;
 };
 
-Totals Explore(int aSchedules, const RunOnceOptions& aOptions,
-               const WorldFaults& aFaults = {})
+Totals RunSchedules(int aSchedules, const RunOnceOptions& aOptions,
+                    const SimulationFaults& aFaults = {})
 {
   Totals totals;
   for (int seed = 1; seed <= aSchedules; ++seed) {
-    RunOnceWorld world(seed, aOptions, aFaults);
-    world.Run();
-    totals.mRunTwice += world.mRunTwice;
-    totals.mFalseNotRun += world.mFalseNotRun;
-    totals.mLateDispatch += world.mLateDispatch;
-    totals.mUnanswered += world.mUnanswered;
-    totals.mGranted += world.mGranted;
-    totals.mDuplicates += world.mDuplicates;
-    totals.mNotRun += world.mNotRun;
-    totals.mUnknown += world.mUnknown;
+    RunOnceSimulation simulation(seed, aOptions, aFaults);
+    simulation.Run();
+    totals.mRunTwice += simulation.mRunTwice;
+    totals.mFalseNotRun += simulation.mFalseNotRun;
+    totals.mLateDispatch += simulation.mLateDispatch;
+    totals.mUnanswered += simulation.mUnanswered;
+    totals.mGranted += simulation.mGranted;
+    totals.mDuplicates += simulation.mDuplicates;
+    totals.mNotRun += simulation.mNotRun;
+    totals.mUnknown += simulation.mUnknown;
   }
   std::printf("schedules %d: run twice %d, false not-run %d, late %d, "
               "unanswered %d; granted %d, duplicates %d, not run %d, "
@@ -59,13 +59,13 @@
 
 TEST_GROUP(RunOnce){};
 
-// A squall, and the same claim comes through three flows at three agents while
-// agents crash and freeze, and the platform loses calls and answers, lands
-// writes late and goes down. No claim may run twice, none may run after its
-// caller was told that it was not run, and every caller must hear something.
-TEST(RunOnce, HoldsInEverySeededSchedule)
+// Requests for the same keys arrive at three agents, while agents crash and
+// stall and the platform loses calls and answers, commits writes late and goes
+// down. No key may run twice or after its request was answered NotRun, and
+// every request must be answered.
+TEST(RunOnce, KeepsItsGuaranteesUnderSeededFaults)
 {
-  Totals totals = Explore(20000, TestOptions());
+  Totals totals = RunSchedules(20000, TestOptions());
   CHECK_EQUAL(0, totals.mRunTwice);
   CHECK_EQUAL(0, totals.mFalseNotRun);
   CHECK_EQUAL(0, totals.mLateDispatch);
@@ -73,33 +73,33 @@
   CHECK_TRUE(totals.mGranted > 0 && totals.mDuplicates > 0);
 }
 
-// The same worlds with one guard off at a time: each shows the failure that
-// its guard meets, or the schedules above would prove nothing.
-TEST(RunOnce, EachGuardOffShowsItsFailure)
+// Runs the same schedules with one guard disabled at a time. Each must show the
+// failure that the guard prevents; otherwise the test above doesn't cover it.
+TEST(RunOnce, DisablingAGuardCausesItsFailure)
 {
   RunOnceOptions options = TestOptions();
   options.mShard.mConditional = false;
-  CHECK_TRUE(Explore(1000, options).mRunTwice > 0);
+  CHECK_TRUE(RunSchedules(1000, options).mRunTwice > 0);
 
   options = TestOptions();
   options.mShard.mReadBack = false;
-  CHECK_TRUE(Explore(1000, options).mRunTwice > 0);
+  CHECK_TRUE(RunSchedules(1000, options).mRunTwice > 0);
 
   options = TestOptions();
-  options.mAskHolder = false;
-  CHECK_TRUE(Explore(1000, options).mRunTwice > 0);
+  options.mQueryHolder = false;
+  CHECK_TRUE(RunSchedules(1000, options).mRunTwice > 0);
 
   options = TestOptions();
-  options.mAskPeers = false;
-  CHECK_TRUE(Explore(1000, options).mFalseNotRun > 0);
+  options.mQueryPeers = false;
+  CHECK_TRUE(RunSchedules(1000, options).mFalseNotRun > 0);
 
   options = TestOptions();
   options.mCheckBeforeDispatch = false;
-  Totals late = Explore(1000, options);
+  Totals late = RunSchedules(1000, options);
   CHECK_TRUE(late.mLateDispatch > 0);
   CHECK_EQUAL(0, late.mFalseNotRun);
 
-  // The check before dispatch would hide this one, so it is off as well.
-  options.mDropGivenUp = false;
-  CHECK_TRUE(Explore(3000, options).mFalseNotRun > 0);
+  // The check before dispatch would hide this failure, so it is disabled too.
+  options.mDropExpiredWaiters = false;
+  CHECK_TRUE(RunSchedules(3000, options).mFalseNotRun > 0);
 }
--- a/tests/ShardWriterTest.cpp
+++ b/tests/ShardWriterTest.cpp
@@ -31,90 +31,92 @@
   std::string mValue;
   std::uint64_t mVersion = 0;
 
-  /** Lets a writer do all that is due on a platform without faults. */
-  std::vector<ShardOutcome> Settle(ShardWriter & aWriter)
+  /** Performs all due calls of a writer on a platform without faults. */
+  std::vector<ShardOutcome> RunToCompletion(ShardWriter & aWriter)
   {
-    std::vector<ShardOutcome> out = aWriter.Review(mClock.Now());
+    std::vector<ShardOutcome> out = aWriter.SettleFromContent(mClock.Now());
     while (aWriter.IsDue(mClock.Now())) {
       ShardCall call = aWriter.Start(mClock.Now());
-      std::vector<ShardOutcome> some;
+      std::vector<ShardOutcome> settled;
       if (call.mIsWrite) {
         mValue = call.mValue;
-        some = aWriter.OnPut(++mVersion, mClock.Now());
+        settled = aWriter.OnPut(++mVersion, mClock.Now());
       } else if (mVersion == 0) {
-        some = aWriter.OnGet(Fail(ErrorKind::NotFound, "", ""), mClock.Now());
+        settled =
+          aWriter.OnGet(Fail(ErrorKind::NotFound, "", ""), mClock.Now());
       } else {
-        some = aWriter.OnGet(Object{ "", mValue, mVersion }, mClock.Now());
+        settled = aWriter.OnGet(Object{ "", mValue, mVersion }, mClock.Now());
       }
-      out.insert(out.end(), some.begin(), some.end());
+      out.insert(out.end(), settled.begin(), settled.end());
     }
     return out;
   }
 };
 
-TEST(ShardWriter, ManyClaimsShareOneWrite)
+TEST(ShardWriter, PendingClaimsShareOneWrite)
 {
   ShardWriter writer(mOptions);
   for (Nonce i = 1; i <= 100; ++i) {
-    writer.Want("key-" + std::to_string(i), Claim(i));
+    writer.Enqueue("key-" + std::to_string(i), Claim(i));
   }
-  CHECK_EQUAL(100, Settle(writer).size());
+  CHECK_EQUAL(100, RunToCompletion(writer).size());
   CHECK_EQUAL(1, mVersion);
   writer.ReleaseIfIdle(mClock.Now());
   CHECK_TRUE(writer.HoldsContent());
   mClock.Advance(1min);
   writer.ReleaseIfIdle(mClock.Now());
   CHECK_FALSE(writer.HoldsContent());
-  writer.Want("key-1", Claim(200));
-  CHECK_TRUE(Settle(writer).front().mResult == ChangeResult::Taken);
+  writer.Enqueue("key-1", Claim(200));
+  CHECK_TRUE(RunToCompletion(writer).front().mResult == ChangeResult::Taken);
 }
 
-// The write's call times out, and lands after the writer has read the object
-// back without it. Taken for undone there, a withdrawn claim would leave its
-// grant behind for ever; so one more write moves the version on.
-TEST(ShardWriter, AWithdrawnClaimThatMayStillLandIsFenced)
+// A claim's write times out, and is committed after the writer has read the
+// object without the grant. If the writer then assumed that the claim had
+// failed, the grant would remain for ever. One more write changes the version,
+// so that the late write fails.
+TEST(ShardWriter, WithdrawalFencesWriteInDoubt)
 {
   ShardWriter writer(mOptions);
-  writer.Want("key", Claim(1));
+  writer.Enqueue("key", Claim(1));
   Time now = mClock.Now();
   writer.Start(now);
   writer.OnGet(Fail(ErrorKind::NotFound, "", ""), now);
   CHECK_TRUE(writer.Start(now).mIsWrite);
   writer.OnPut(Fail(ErrorKind::Timeout, "", ""), now);
   writer.GiveUp("key", Claim(1).mGrant, now);
-  std::vector<ShardOutcome> out = Settle(writer);
+  std::vector<ShardOutcome> out = RunToCompletion(writer);
   CHECK_EQUAL(1, mVersion);
   CHECK_TRUE(GrantShard::Decode(mValue)->Find("key") == nullptr);
-  CHECK_EQUAL(0, writer.Waiting());
+  CHECK_EQUAL(0, writer.PendingCount());
 }
 
-// A claim is lodged again after the retention of its grant. Its record is gone,
-// but its hash is still there: it must not run again as if it were new.
-TEST(ShardWriter, AKeyOlderThanItsRecordHasFadedAndThenIsForgotten)
+// A key is claimed again after its grant has expired to a hash. The claim must
+// fail as Expired until the hash is discarded too, or the key would run twice.
+TEST(ShardWriter, ClaimOfExpiredKeyFailsUntilItsHashIsDiscarded)
 {
   ShardWriter writer(mOptions);
-  writer.Want("key", Claim(1));
-  Settle(writer);
-  writer.Want("key", Answer(1));
-  Settle(writer);
+  writer.Enqueue("key", Claim(1));
+  RunToCompletion(writer);
+  writer.Enqueue("key", Answer(1));
+  RunToCompletion(writer);
   for (Nonce i = 10; i < 13; ++i) {
-    CHECK_TRUE(Settle(writer).empty());
+    CHECK_TRUE(RunToCompletion(writer).empty());
     mClock.Advance(25h);
-    writer.Want("other-" + std::to_string(i), Claim(i));
-    Settle(writer);
-    writer.Want("key", Claim(i + 10));
-    ChangeResult result = Settle(writer).front().mResult;
-    ChangeResult wanted = i == 10   ? ChangeResult::Taken
-                          : i == 11 ? ChangeResult::Faded
-                                    : ChangeResult::Committed;
-    CHECK_TRUE(result == wanted);
+    writer.Enqueue("other-" + std::to_string(i), Claim(i));
+    RunToCompletion(writer);
+    writer.Enqueue("key", Claim(i + 10));
+    ChangeResult result = RunToCompletion(writer).front().mResult;
+    ChangeResult expected = i == 10   ? ChangeResult::Taken
+                            : i == 11 ? ChangeResult::Expired
+                                      : ChangeResult::Committed;
+    CHECK_TRUE(result == expected);
   }
 }
 
-// Claims pile up in one shard until the object is near the platform's limit.
-// New ones must be refused, and run again once a generation has passed; at no
-// time may the value outgrow the limit, its answers included.
-TEST(ShardWriter, AFullShardRefusesAndRecovers)
+// Claims accumulate in one shard until the object is near the platform's size
+// limit. New claims must be refused until a generation has passed, and the
+// value, including answers, must never exceed the limit.
+TEST(ShardWriter, FullShardRefusesClaimsUntilRotation)
 {
   ShardWriter writer(mOptions);
   std::string answer(1200, 'a');
@@ -123,31 +125,31 @@
   while (last == ChangeResult::Committed) {
     for (int i = 0; i < 400; ++i) {
       std::string key = "a-key-of-some-length-" + std::to_string(++n);
-      writer.Want(key, Claim(n));
+      writer.Enqueue(key, Claim(n));
     }
-    last = Settle(writer).back().mResult;
+    last = RunToCompletion(writer).back().mResult;
     CHECK_TRUE(mValue.size() <= ObjectStore::kMaxObjectSize);
   }
   CHECK_TRUE(last == ChangeResult::Full);
   for (Nonce i = 1; i <= n; ++i) {
     ShardChange change = Answer(i);
     change.mGrant.mAnswer = answer;
-    writer.Want("a-key-of-some-length-" + std::to_string(i), change);
+    writer.Enqueue("a-key-of-some-length-" + std::to_string(i), change);
   }
-  Settle(writer);
+  RunToCompletion(writer);
   CHECK_TRUE(mValue.size() <= ObjectStore::kMaxObjectSize);
   mClock.Advance(25h);
-  writer.Want("one-more", Claim(++n));
-  CHECK_TRUE(Settle(writer).back().mResult == ChangeResult::Committed);
+  writer.Enqueue("one-more", Claim(++n));
+  CHECK_TRUE(RunToCompletion(writer).back().mResult == ChangeResult::Committed);
   mClock.Advance(25h);
-  writer.Want("and-more", Claim(++n));
-  CHECK_TRUE(Settle(writer).back().mResult == ChangeResult::Committed);
+  writer.Enqueue("and-more", Claim(++n));
+  CHECK_TRUE(RunToCompletion(writer).back().mResult == ChangeResult::Committed);
   CHECK_TRUE(mValue.size() < 400000);
 }
 
-// The platform comes back after an outage, and all agents call it at once. An
-// open breaker lets one probe through at a time, at moments that differ.
-TEST(ShardWriter, ABreakerProbesOneAtATimeAndApart)
+// The platform recovers from an outage, and all agents call it at once. An open
+// breaker must admit one probe at a time, at times that differ between agents.
+TEST(ShardWriter, OpenBreakerAdmitsSingleProbesWithJitter)
 {
   std::vector<Duration> probes;
   for (std::uint64_t seed = 1; seed <= 20; ++seed) {
@@ -171,14 +173,14 @@
   CHECK_TRUE(last - first > 50ms);
 }
 
-// A holder is frozen between grant and dispatch for longer than grants are
-// kept. Its key has faded and been forgotten, and another agent runs it. The
-// holder wakes with its dispatch at the head of its queue, and must refuse it.
-TEST(ShardWriter, AHolderThatSleptPastTheRetentionDispatchesNothing)
+// A holder is stalled between grant and dispatch for longer than the retention
+// of grants. Its grant has expired, and another agent may run the key. When the
+// holder resumes, it must refuse the dispatch.
+TEST(ShardWriter, HolderStalledPastRetentionDoesNotDispatch)
 {
-  for (bool guard : { false, true }) {
+  for (bool checksDeadline : { false, true }) {
     RunOnceOptions options;
-    options.mCheckBeforeDispatch = guard;
+    options.mCheckBeforeDispatch = checksDeadline;
     RunOnce holder({ 1 }, 1, options, 1, mClock.Now());
     holder.Request(7, "key", mClock.Now() + 1s, mClock.Now());
     auto call = std::get<StoreCall>(holder.TakeActions().front());
@@ -187,7 +189,7 @@
     holder.OnPut(call.mTicket, std::uint64_t{ 1 }, mClock.Now());
     auto granted = std::get<Granted>(holder.TakeActions().front());
     mClock.Advance(96h);
-    bool may = holder.MayDispatch("key", granted.mNonce, mClock.Now());
-    CHECK_EQUAL(!guard, may);
+    bool mayDispatch = holder.MayDispatch("key", granted.mNonce, mClock.Now());
+    CHECK_EQUAL(!checksDeadline, mayDispatch);
   }
 }
