--- a/src/balancer/Balancer.cpp
+++ b/src/balancer/Balancer.cpp
@@ -31,12 +31,12 @@
 
 namespace {
 
-constexpr auto kTick = std::chrono::milliseconds(50);
-constexpr auto kSecond = std::chrono::seconds(1);
-/** How long a balancer goes on routing after it said that it stops: the fabric
- * looks at /readyz every second or two, and what it sends until it has seen
- * must not be lost. */
-constexpr auto kStopAfter = std::chrono::milliseconds(2500);
+constexpr auto kTickInterval = std::chrono::milliseconds(50);
+constexpr auto kStatusInterval = std::chrono::seconds(1);
+/** How long a stopping balancer continues to route packets. The fabric polls
+ * /readyz every one or two seconds, and packets that it sends until then must
+ * not be lost. */
+constexpr auto kStopDelay = std::chrono::milliseconds(2500);
 
 Member MakeSelf(const BalancerSettings& aSettings)
 {
@@ -100,9 +100,9 @@
   StatusSender mStatus{ mSettings, "balancer" };
   std::unique_ptr<AdminApi> mApi;
   std::shared_ptr<DatagramSocket> mTunnel;
-  std::mutex mBoardsLock;
-  /** Status boards that this balancer keeps, by their key. */
-  std::map<std::string, std::shared_ptr<StatusPublisher>> mBoards;
+  std::mutex mStatusBoardsLock;
+  /** Status boards that this balancer publishes, by key. */
+  std::map<std::string, std::shared_ptr<StatusPublisher>> mStatusBoards;
   std::atomic<bool> mStopping{ false };
 
   Result<void> Ready()
@@ -113,13 +113,13 @@
     }
     if (!mConfig.Current()) {
       return Fail(ErrorKind::Unavailable, "no configuration yet",
-                  "apply one, or look at the platform and the peers");
+                  "apply one, or check the platform and the peers");
     }
     MembershipReadiness members = mMembers.Readiness();
     if (members != MembershipReadiness::Ready) {
       return Fail(ErrorKind::Unavailable,
                   "membership is " + std::string(ToString(members)),
-                  "wait for a peer's snapshot or for heartbeats, or mend the "
+                  "wait for a peer's snapshot or for heartbeats, or repair the "
                   "network");
     }
     return {};
@@ -158,10 +158,10 @@
   {
     mTunnel->Start(
       [this](ByteView aDatagram, const Address&) { OnDatagram(aDatagram); });
-    mRuntime.Every(kTick, [this] { Tick(); });
-    mRuntime.Every(kSecond, [this] {
+    mRuntime.Every(kTickInterval, [this] { Tick(); });
+    mRuntime.Every(kStatusInterval, [this] {
       mLinks.Tick();
-      TellStatus();
+      SendStatus();
     });
     mRuntime.OnStop([this] { Stop(); });
     LogEvent(LogLevel::Info, "started",
@@ -175,11 +175,11 @@
     mMembers.Tick();
     mConfig.SetPeers(mMembers.Balancers());
     mConfig.Tick();
-    // What a balancer can't judge yet it drops like a lost datagram: told "no
-    // such service" by one that just started, a caller would give up a request
-    // that its copy to another balancer may have brought to a host.
-    mRouter.SetUsable(mConfig.Current() != nullptr &&
-                      mMembers.Readiness() != MembershipReadiness::Starting);
+    // A balancer that isn't ready drops packets silently. If it answered with
+    // unknown_service, the caller would give up a request whose copy may have
+    // reached a host through another balancer.
+    mRouter.SetReady(mConfig.Current() != nullptr &&
+                     mMembers.Readiness() != MembershipReadiness::Starting);
     mMetrics.GetGauge("members").Set(static_cast<double>(mMembers.Size()));
     mMetrics.GetGauge("control_bytes_sent")
       .Set(static_cast<double>(mLinks.BytesSent()));
@@ -236,7 +236,7 @@
     if (aFrame.mKind == MessageKind::StatusReport) {
       auto report = DecodeStatusReport(aFrame.mPayload);
       if (report) {
-        KeepStatus(*report);
+        RecordStatus(*report);
       } else {
         mMalformed.Add();
       }
@@ -245,33 +245,33 @@
     mConfig.OnFrame(aFrom, aFrame);
   }
 
-  /** Tells the balancer that keeps this process's status what it runs, and
-   * writes the boards that are kept here. */
-  void TellStatus()
+  /** Sends this process's status to the balancer that publishes it, and writes
+   * the status boards of this balancer. */
+  void SendStatus()
   {
     std::vector<Member> balancers = mMembers.Balancers();
     balancers.push_back(mSelf);
     if (auto due = mStatus.Tick(balancers, mClock.Now())) {
       if (due->mKeeper.mHost == mSelf.mHost) {
-        KeepStatus(due->mReport);
+        RecordStatus(due->mReport);
       } else {
         mLinks.Send(due->mKeeper.mControl, MessageKind::StatusReport,
                     EncodeStatusReport(due->mReport));
       }
     }
-    std::lock_guard lock(mBoardsLock);
-    for (const auto& [key, board] : mBoards) {
+    std::lock_guard lock(mStatusBoardsLock);
+    for (const auto& [key, board] : mStatusBoards) {
       board->Tick(mClock.Now());
     }
   }
 
-  void KeepStatus(const StatusReport& aReport)
+  void RecordStatus(const StatusReport& aReport)
   {
     std::uint32_t shards = CountStatusShards(mMembers.Balancers().size() + 1);
     std::string key = StatusKey(aReport.mProcess.mDataCentre,
                                 StatusShardOf(aReport.mProcess.mName, shards));
-    std::lock_guard lock(mBoardsLock);
-    auto& board = mBoards[key];
+    std::lock_guard lock(mStatusBoardsLock);
+    auto& board = mStatusBoards[key];
     if (!board) {
       StatusBoard::Options options;
       options.mKey = key;
@@ -287,7 +287,7 @@
     mStopping = true;
     mMembers.Leave();
     auto timer = std::make_shared<boost::asio::steady_timer>(
-      mRuntime.Executor(), kStopAfter);
+      mRuntime.Executor(), kStopDelay);
     timer->async_wait([this, timer](boost::system::error_code) {
       LogEvent(LogLevel::Info, "stopped", {});
       mRuntime.Quit();
--- a/src/balancer/Balancer.h
+++ b/src/balancer/Balancer.h
@@ -7,19 +7,20 @@
 
 namespace heatherplank {
 
-/** A balancer process: its sockets, timers and parts, and how they are joined.
- * Decisions are made elsewhere: Steer, MemberTable, configuration.
+/** A balancer process: owns its sockets, timers and components and connects
+ * them. Decisions are made in Steer, MemberTable and ConfigDistribution.
  */
 class Balancer
 {
 public:
-  /** Opens every port; System with the remedy if one can't be had. */
+  /** Opens all ports. Errors: System, with a remedy, if a port can't be opened.
+   */
   static Result<std::unique_ptr<Balancer>> Make(
     const BalancerSettings& aSettings, bool aFaultInjection);
 
   ~Balancer();
 
-  /** Runs until a planned stop has ended. */
+  /** Runs until a planned stop has completed. */
   void Run();
 
 private:
--- a/src/balancer/ConfigPlane.cpp
+++ b/src/balancer/ConfigPlane.cpp
@@ -31,7 +31,7 @@
 }
 
 template<typename Change>
-void ConfigPlane::Do(const Change& aChange)
+void ConfigPlane::Update(const Change& aChange)
 {
   std::vector<ConfigAction> actions;
   {
@@ -47,7 +47,7 @@
 
 void ConfigPlane::SetPeers(std::span<const Member> aPeers)
 {
-  Do([&](Time) {
+  Update([&](Time) {
     std::vector<ConfigPeer> peers;
     for (const auto& it : aPeers) {
       peers.push_back({ it.mHost, it.mDataCentre });
@@ -71,7 +71,7 @@
       .Add();
     return;
   }
-  Do([&](Time aNow) {
+  Update([&](Time aNow) {
     mAddresses[aFrom.mHost] = aFrom.mControl;
     mDistribution.OnMessage(aFrom.mHost, *message, aNow);
   });
@@ -79,12 +79,12 @@
 
 void ConfigPlane::OnAgentGone(HostId aAgent)
 {
-  Do([&](Time) { mDistribution.OnAgentGone(aAgent); });
+  Update([&](Time) { mDistribution.OnAgentGone(aAgent); });
 }
 
 void ConfigPlane::Tick()
 {
-  Do([&](Time aNow) { mDistribution.Tick(aNow); });
+  Update([&](Time aNow) { mDistribution.Tick(aNow); });
 }
 
 void ConfigPlane::Perform(const ConfigSend& aAction)
@@ -106,7 +106,7 @@
 {
   mParts.mStore.Watch(config_keys::kHead, aAction.mAfter, aAction.mWait,
                       [this](Result<std::optional<Object>> aResult) {
-                        Do([&](Time aNow) {
+                        Update([&](Time aNow) {
                           mDistribution.OnWatched(std::move(aResult), aNow);
                           mDistribution.Tick(aNow);
                         });
@@ -117,7 +117,7 @@
 {
   mParts.mStore.Get(aAction.mKey,
                     [this, hash = aAction.mHash](Result<Object> aResult) {
-                      Do([&](Time aNow) {
+                      Update([&](Time aNow) {
                         mDistribution.OnFetched(hash, std::move(aResult), aNow);
                         mDistribution.Tick(aNow);
                       });
--- a/src/balancer/ConfigPlane.h
+++ b/src/balancer/ConfigPlane.h
@@ -18,9 +18,8 @@
 class ControlLinks;
 class MetricsRegistry;
 
-/** Drives a balancer's configuration distribution: watches at the platform,
- * messages to and from other balancers and agents. Thread safe, by its own
- * lock.
+/** Drives a balancer's configuration distribution: watches on the platform, and
+ * messages to and from other balancers and agents. Thread safe.
  */
 class ConfigPlane
 {
@@ -30,24 +29,24 @@
     const Clock& mClock;
     MetricsRegistry& mMetrics;
     ControlLinks& mLinks;
-    /** Must outlive the plane. */
+    /** Must outlive this ConfigPlane. */
     ObjectStore& mStore;
-    /** Called for each version, in order; it must not call the plane. */
+    /** Called for each version, in order. It must not call this ConfigPlane. */
     InForceRelay::OnChange mOnChange;
   };
 
   ConfigPlane(Parts aParts, const Member& aSelf);
 
-  /** The other balancers that are believed to live. */
+  /** Sets the other balancers that aren't declared dead. */
   void SetPeers(std::span<const Member> aPeers);
 
   /** The configuration in force here, or null. */
   ConfigurationPtr Current() const;
 
-  /** Takes a frame of a configuration kind. Malformed ones are counted. */
+  /** Handles a frame of a configuration kind; malformed frames are counted. */
   void OnFrame(const Hello& aFrom, const Frame& aFrame);
 
-  /** Agents that are not in view any more get nothing more. */
+  /** Stops sending to an agent that has left the membership view. */
   void OnAgentGone(HostId aAgent);
 
   /** Call every 50 to 100 ms. */
@@ -55,7 +54,7 @@
 
 private:
   template<typename Change>
-  void Do(const Change& aChange);
+  void Update(const Change& aChange);
   void Perform(const ConfigSend& aAction);
   void Perform(const ConfigWatch& aAction);
   void Perform(const ConfigFetch& aAction);
@@ -63,12 +62,13 @@
   void ExportCounters();
 
   Parts mParts;
-  /** Two threads may bring versions at once; the later one must win. */
+  /** Delivers versions in order, although threads may report them
+   * concurrently. */
   InForceRelay mRelay;
   mutable std::mutex mLock;
   ConfigDistribution mDistribution;
   ConfigCounters mExported;
-  /** Where to reach balancers and agents, by id. */
+  /** Control addresses of balancers and agents. */
   std::map<HostId, Address> mAddresses;
 };
 
--- a/src/balancer/MemberPlane.cpp
+++ b/src/balancer/MemberPlane.cpp
@@ -10,9 +10,10 @@
 
 namespace heatherplank {
 
-/** Asks the inventory in force. Before the first one every host is taken in,
- * and judged when it comes: a balancer that starts in an outage of the platform
- * learns of its peers, and from them of the inventory, by this membership. */
+/** Checks hosts against the inventory in force. Before the first inventory all
+ * hosts are admitted, to be checked once it arrives: a balancer that starts
+ * during a platform outage discovers its peers through this membership, and
+ * receives the inventory from them. */
 class MemberPlane::ConfiguredInventory final : public InventoryCheck
 {
 public:
@@ -42,12 +43,13 @@
 {
   BalancerMembershipOptions options;
   options.mSeeds = std::move(aSeeds);
-  // Three heartbeats of an agent: callers wait a second for an answer, and must
-  // be told before that. Death stays at 3 s, above the agents' trust in a view.
+  // Three heartbeats of an agent. Callers wait a second for an answer and must
+  // be answered before that. A host is declared dead after 3 s, which is longer
+  // than agents trust a view.
   options.mTable.mSuspectAfter = std::chrono::milliseconds(900);
   options.mTable.mRefuteWithin = std::chrono::milliseconds(2100);
-  // Ranks come from the full weight: one that grows would move the arbiters of
-  // flows for as long as a host starts. Slow start is the agents' choice.
+  // Ranks use the full weight, since a growing weight would move the arbiters
+  // of flows during a host's start. Agents apply slow start instead.
   options.mTable.mSlowStart = Duration::zero();
   return options;
 }
@@ -172,7 +174,8 @@
 {
   std::lock_guard lock(mLock);
   auto all = mMembership.Balancers().View(BalancerService())->mMembers;
-  std::erase_if(all, [&](const Member& aIt) { return aIt.mHost == mSelf; });
+  std::erase_if(all,
+                [&](const Member& aMember) { return aMember.mHost == mSelf; });
   return all;
 }
 
--- a/src/balancer/MemberPlane.h
+++ b/src/balancer/MemberPlane.h
@@ -15,13 +15,13 @@
 class MessageSender;
 class MetricsRegistry;
 
-/** Drives a balancer's membership over the wire, under the inventory in force.
- * Thread safe, by one lock: a few hundred messages a second.
+/** Drives a balancer's membership protocol under the inventory in force. Thread
+ * safe; one lock suffices for a few hundred messages per second.
  */
 class MemberPlane
 {
 public:
-  /** Called with no lock held when views of services changed. */
+  /** Called without locks held when views of services have changed. */
   using ViewsChanged = std::function<void(std::span<const MemberViewPtr>,
                                           std::span<const ServiceId>)>;
 
@@ -33,43 +33,45 @@
     ViewsChanged mViewsChanged;
   };
 
-  /** How balancers of the request interface are wired. aSeeds: control
-   * addresses of balancers to begin with. */
+  /** The options for balancers of the request interface. aSeeds holds the
+   * control addresses of balancers to join through. */
   static BalancerMembershipOptions DefaultOptions(std::vector<Address> aSeeds);
 
   MemberPlane(Parts aParts, const Member& aSelf,
               const BalancerMembershipOptions& aOptions);
   ~MemberPlane();
 
-  /** Applies an inventory: hosts that it does not give their service to are
-   * refused from now on. */
+  /** Applies the inventory of a configuration. Hosts that it doesn't list for
+   * their service are refused. */
   void SetConfiguration(const Configuration& aConfiguration);
 
-  /** Takes a frame of a membership kind. Malformed ones are counted. */
+  /** Handles a frame of a membership kind; malformed frames are counted. */
   void OnFrame(const Frame& aFrame);
 
   /** Call every 50 ms. */
   void Tick();
 
-  /** Other balancers to begin with: the settings changed. */
+  /** Replaces the seeds when the settings have changed. */
   void SetSeeds(std::vector<Address> aSeeds);
 
-  /** Asks some hosts in view, at random, for a sign of life. Gives those. */
+  /** Requests heartbeats from up to aCount random hosts in view, and returns
+   * those hosts. */
   std::vector<Member> AskSome(std::size_t aCount);
 
-  /** Tells the peers that this balancer stops. */
+  /** Notifies the peers that this balancer is stopping. */
   void Leave();
 
-  /** Whether the view can be steered by. */
+  /** Whether the membership view can be used for steering. */
   MembershipReadiness Readiness() const;
 
-  /** The other balancers that are believed to live. */
+  /** The other balancers that aren't declared dead. */
   std::vector<Member> Balancers() const;
 
-  /** Hosts in view. */
+  /** Number of hosts in view. */
   std::size_t Size() const;
 
-  /** Those of them that should be heard here by now. */
+  /** Number of hosts in view whose heartbeats are due by now, so that their
+   * absence counts. */
   std::size_t Judged() const;
 
 private:
--- a/src/balancer/PacketRouter.cpp
+++ b/src/balancer/PacketRouter.cpp
@@ -9,17 +9,17 @@
 
 namespace {
 
-/** More than the threads of a balancer, so that two seldom meet at a lock. */
-constexpr std::size_t kShards = 16;
+/** More than the threads of a balancer, so that lock contention is rare. */
+constexpr std::size_t kHintShards = 16;
 
-/** Membership settles within a few heartbeats; an unknown address needs an
- * operator. */
-constexpr auto kNoMemberRetry = std::chrono::seconds(1);
-constexpr auto kUnknownServiceRetry = std::chrono::seconds(30);
+/** Membership converges within a few heartbeats, while an unknown address needs
+ * an operator. */
+constexpr auto kNoMemberRetryAfter = std::chrono::seconds(1);
+constexpr auto kUnknownServiceRetryAfter = std::chrono::seconds(30);
 
-/** A claim may have reached a host through another balancer, or one that is
- * gone from this view, before this copy of it came: only what may be repeated
- * can be said not to have run. */
+/** True for a never-repeat request. A copy of it may have reached a host
+ * through another balancer, or a host that has left this view, so that it can't
+ * be answered as not run. */
 bool MayHaveRun(const Service& aService, const CallerRequest& aRequest)
 {
   const Rule* rule = FindRule(aService, aRequest.mMethod, aRequest.mTarget);
@@ -29,9 +29,9 @@
 Answer MakeRefusal(SteerRefusal aReason)
 {
   if (aReason == SteerRefusal::UnknownService) {
-    return MakeNotRun(404, ToString(aReason), kUnknownServiceRetry);
+    return MakeNotRun(404, ToString(aReason), kUnknownServiceRetryAfter);
   }
-  return MakeNotRun(503, ToString(aReason), kNoMemberRetry);
+  return MakeNotRun(503, ToString(aReason), kNoMemberRetryAfter);
 }
 
 } // namespace
@@ -51,8 +51,8 @@
     mRefused[i] =
       &aMetrics.GetCounter("packets_refused_total", "reason=\"" + name + "\"");
   }
-  for (std::size_t i = 0; i < kShards; ++i) {
-    mShards.push_back(std::make_unique<Shard>(aMaxHints / kShards + 1));
+  for (std::size_t i = 0; i < kHintShards; ++i) {
+    mShards.push_back(std::make_unique<Shard>(aMaxHints / kHintShards + 1));
   }
 }
 
@@ -72,12 +72,12 @@
 
 PacketRouter::Shard& PacketRouter::ShardOf(std::uint64_t aFlowHash)
 {
-  return *mShards[(aFlowHash >> 48) % kShards];
+  return *mShards[(aFlowHash >> 48) % kHintShards];
 }
 
 std::optional<Outgoing> PacketRouter::OnPacket(const Packet& aPacket)
 {
-  if (!mUsable) {
+  if (!mReady) {
     mNotReady.Add();
     return std::nullopt;
   }
@@ -100,9 +100,9 @@
     return Refuse(aPacket, *refusal);
   }
   const auto& target = std::get<SteerTarget>(decision);
-  // A paused host answers nobody, and its callers would wait until they give
-  // up. Whoever asks while it is suspected is told at once when to come back;
-  // by then it is heard again, or held dead and its flows have a new owner.
+  // Callers of a stalled host would wait until their timeout. While the host is
+  // suspected they are refused at once with a Retry-After; by then it has
+  // refuted the suspicion, or is declared dead and its flows have a new owner.
   const auto& suspects = route->second.mSuspects;
   if (std::find(suspects.begin(), suspects.end(), target.mMember->mHost) !=
       suspects.end()) {
--- a/src/balancer/PacketRouter.h
+++ b/src/balancer/PacketRouter.h
@@ -16,37 +16,38 @@
 class Counter;
 class MetricsRegistry;
 
-/** A datagram and where it goes. */
+/** A datagram and its destination. */
 struct Outgoing
 {
   Address mTo;
   Bytes mDatagram;
 };
 
-/** The balancer's pipeline for a packet: parse, steer, deliver. Holds nothing
- * that matters: routes are given to it, hints may be lost. Thread safe: hints
- * are in shards by the flow's hash, each under its own lock.
+/** The balancer's packet pipeline: parse, steer, deliver. It holds only soft
+ * state: routes are set from outside, and hints may be lost. Thread safe: hints
+ * are sharded by the flow's hash, with one lock per shard.
  */
 class PacketRouter
 {
 public:
-  /** aTunnel is this balancer's own tunnel address, where agents send hints.
-   */
+  /** aTunnel is this balancer's tunnel address, to which agents send hints. */
   PacketRouter(MetricsRegistry& aMetrics, const Address& aTunnel,
                std::size_t aMaxHints);
   ~PacketRouter();
 
-  /** Puts other routes in force, for packets from now on. */
+  /** Replaces the routes for subsequent packets. */
   void SetRoutes(RoutesPtr aRoutes);
 
-  /** Until this is true packets are dropped and counted. */
-  void SetUsable(bool aUsable) { mUsable = aUsable; }
+  /** While false, which is the initial state, packets are dropped and counted.
+   */
+  void SetReady(bool aReady) { mReady = aReady; }
 
-  /** Steers a caller's packet from the fabric: what goes to an agent, or an
-   * answer to the caller if there is none, or nothing (counted). */
+  /** Steers a caller's packet from the fabric. Returns a datagram to an agent,
+   * a refusal to the caller if the packet can't be steered, or nothing if the
+   * packet is dropped; refusals and drops are counted. */
   std::optional<Outgoing> OnPacket(const Packet& aPacket);
 
-  /** Remembers the owner of a flow. */
+  /** Caches the owner of a flow; an owner without a host removes the hint. */
   void OnHint(const FlowKey& aFlow, const OwnerHint& aOwner);
 
 private:
@@ -68,7 +69,7 @@
   Counter& mForwarded;
   Counter& mMalformed;
   Counter& mNotReady;
-  std::atomic<bool> mUsable{ false };
+  std::atomic<bool> mReady{ false };
   std::array<Counter*, 3> mRefused;
   std::vector<std::unique_ptr<Shard>> mShards;
   mutable std::mutex mRoutesLock;
--- a/src/balancer/RouteTable.cpp
+++ b/src/balancer/RouteTable.cpp
@@ -29,9 +29,9 @@
   for (const auto& [address, service] : mConfiguration->mByAddress) {
     Route& route = routes->mByAddress[address];
     route.mService = service;
-    if (const auto* held = mViews.Find(service)) {
-      route.mView = held->mView;
-      route.mSuspects = held->mSuspects;
+    if (const auto* entry = mViews.Find(service)) {
+      route.mView = entry->mView;
+      route.mSuspects = entry->mSuspects;
     }
   }
   return routes;
--- a/src/balancer/RouteTable.h
+++ b/src/balancer/RouteTable.h
@@ -9,17 +9,17 @@
 
 namespace heatherplank {
 
-/** Joins configuration and membership into routes. Thread safe, by its own
- * lock.
+/** Builds routes from configuration and membership. Thread safe.
  */
 class RouteTable
 {
 public:
-  /** Takes another configuration and gives the routes under it. */
+  /** Replaces the configuration and returns the resulting routes. */
   RoutesPtr SetConfiguration(ConfigurationPtr aConfiguration);
 
-  /** Takes views of services; one that is older than what is held is dropped.
-   */
+  /** Updates the views of services and returns the resulting routes. A view
+   * that is older than the present one is ignored. aViews and aServices
+   * correspond by index. */
   RoutesPtr SetViews(std::span<const MemberViewPtr> aViews,
                      std::span<const ServiceId> aServices);
 
--- a/src/balancer/Routes.h
+++ b/src/balancer/Routes.h
@@ -9,19 +9,19 @@
 
 namespace heatherplank {
 
-/** A service as packets meet it. */
+/** The steering state of one service. */
 struct Route
 {
   ServiceId mService;
-  /** Null until a member was heard of. */
+  /** Null until a membership view of the service exists. */
   ServiceViewPtr mView;
-  /** Members of it that were not heard of for a moment. */
+  /** Suspected members: their heartbeats have been missing for a short time. */
   std::vector<HostId> mSuspects;
 };
 
-/** What the data path needs to know, by service address. Immutable; replaced
- * whole when configuration or membership change, so that a packet is steered
- * by one consistent state.
+/** The data path's state by service address. Immutable; replaced as a whole
+ * when configuration or membership changes, so that each packet is steered by
+ * one consistent state.
  */
 struct Routes
 {
--- a/src/balancer/ServiceViews.cpp
+++ b/src/balancer/ServiceViews.cpp
@@ -9,26 +9,26 @@
                        std::span<const ServiceId> aServices)
 {
   for (std::size_t i = 0; i < aServices.size(); ++i) {
-    Held& held = mViews[aServices[i]];
-    if (held.mView && held.mView->Version() > aViews[i]->mVersion) {
+    Entry& entry = mViews[aServices[i]];
+    if (entry.mView && entry.mView->Version() > aViews[i]->mVersion) {
       continue;
     }
-    held = MakeHeld(aServices[i], aViews[i]);
+    entry = MakeEntry(aServices[i], aViews[i]);
   }
 }
 
 void ServiceViews::SetDrains(DataCentreDrains aDrains)
 {
   mDrains = std::move(aDrains);
-  for (auto& [service, held] : mViews) {
-    if (held.mMembers) {
-      held = MakeHeld(service, held.mMembers);
+  for (auto& [service, entry] : mViews) {
+    if (entry.mMembers) {
+      entry = MakeEntry(service, entry.mMembers);
     }
   }
 }
 
-ServiceViews::Held ServiceViews::MakeHeld(ServiceId aService,
-                                          MemberViewPtr aView) const
+ServiceViews::Entry ServiceViews::MakeEntry(ServiceId aService,
+                                            MemberViewPtr aView) const
 {
   std::vector<Member> members = aView->mMembers;
   for (Member& it : members) {
@@ -36,7 +36,7 @@
       it.mState = std::max(it.mState, HostState::Draining);
     }
   }
-  Held out;
+  Entry out;
   out.mView =
     MakeServiceView(aService, aView->mVersion, std::move(members), mScanLimit);
   out.mSuspects = aView->mSuspects;
@@ -44,7 +44,7 @@
   return out;
 }
 
-const ServiceViews::Held* ServiceViews::Find(ServiceId aService) const
+const ServiceViews::Entry* ServiceViews::Find(ServiceId aService) const
 {
   auto it = mViews.find(aService);
   return it == mViews.end() ? nullptr : &it->second;
--- a/src/balancer/ServiceViews.h
+++ b/src/balancer/ServiceViews.h
@@ -10,46 +10,47 @@
 
 namespace heatherplank {
 
-/** The newest views of services that a balancer was given, with the hosts of
- * drained data centres as draining, whatever they say of themselves. Not thread
- * safe. */
+/** The newest views of a balancer's services, in which the hosts of drained
+ * data centres are draining, whatever state they report. Not thread safe. */
 class ServiceViews
 {
 public:
-  struct Held
+  struct Entry
   {
-    /** Null until a member was heard of. */
+    /** Null until a membership view of the service exists. */
     ServiceViewPtr mView;
-    /** What it was made of. */
+    /** The membership view that mView was built from. */
     MemberViewPtr mMembers;
-    /** Members that were not heard of for a moment. */
+    /** Suspected members: their heartbeats have been missing for a short time.
+     */
     std::vector<HostId> mSuspects;
   };
 
-  /** aScanLimit: see RankTable. */
+  /** See RankTable for aScanLimit. */
   explicit ServiceViews(std::size_t aScanLimit = RankTable::kScanLimit)
     : mScanLimit(aScanLimit)
   {
   }
 
-  /** Takes views; one that is older than what is held is dropped. */
+  /** Updates the views of services; a view that is older than the present one
+   * is ignored. aViews and aServices correspond by index. */
   void Set(std::span<const MemberViewPtr> aViews,
            std::span<const ServiceId> aServices);
 
-  /** Data centres were drained or taken back. */
+  /** Sets the drained data centres and rebuilds all views. */
   void SetDrains(DataCentreDrains aDrains);
 
   /** The view of a service, or null. */
-  const Held* Find(ServiceId aService) const;
+  const Entry* Find(ServiceId aService) const;
 
-  const std::unordered_map<ServiceId, Held>& All() const { return mViews; }
+  const std::unordered_map<ServiceId, Entry>& All() const { return mViews; }
 
 private:
-  Held MakeHeld(ServiceId aService, MemberViewPtr aView) const;
+  Entry MakeEntry(ServiceId aService, MemberViewPtr aView) const;
 
   std::size_t mScanLimit;
   DataCentreDrains mDrains;
-  std::unordered_map<ServiceId, Held> mViews;
+  std::unordered_map<ServiceId, Entry> mViews;
 };
 
 } // namespace heatherplank
