--- a/src/balancer/Balancer.h
+++ b/src/balancer/Balancer.h
@@ -8,13 +8,11 @@
 namespace heatherplank {
 
 /** A balancer process: owns its sockets, timers and components and connects
- * them. Decisions are made in Steer, MemberTable and ConfigDistribution.
- */
+ * them. Decisions are made in Steer, MemberTable and ConfigDistribution. */
 class Balancer
 {
 public:
-  /** Opens all ports. Errors: System, with a remedy, if a port can't be opened.
-   */
+  /** Opens all ports; System, with a remedy, if a port can't be opened. */
   static Result<std::unique_ptr<Balancer>> Make(
     const BalancerSettings& aSettings, bool aFaultInjection);
 
--- a/src/balancer/ConfigPlane.h
+++ b/src/balancer/ConfigPlane.h
@@ -19,8 +19,7 @@
 class MetricsRegistry;
 
 /** Drives a balancer's configuration distribution: watches on the platform, and
- * messages to and from other balancers and agents. Thread safe.
- */
+ * messages to and from other balancers and agents. Thread safe. */
 class ConfigPlane
 {
 public:
@@ -62,8 +61,7 @@
   void ExportCounters();
 
   Parts mParts;
-  /** Delivers versions in order, although threads may report them
-   * concurrently. */
+  /** Delivers versions in order when threads report them concurrently. */
   InForceRelay mRelay;
   mutable std::mutex mLock;
   ConfigDistribution mDistribution;
--- a/src/balancer/MemberPlane.cpp
+++ b/src/balancer/MemberPlane.cpp
@@ -111,13 +111,13 @@
 
 std::vector<Member> MemberPlane::AskSome(std::size_t aCount)
 {
-  std::vector<Member> asked;
+  std::vector<Member> queried;
   {
     std::lock_guard lock(mLock);
-    asked = mMembership.AskSome(aCount, mParts.mClock.Now());
+    queried = mMembership.AskSome(aCount, mParts.mClock.Now());
   }
   Flush();
-  return asked;
+  return queried;
 }
 
 void MemberPlane::Leave()
--- a/src/balancer/MemberPlane.h
+++ b/src/balancer/MemberPlane.h
@@ -16,8 +16,7 @@
 class MetricsRegistry;
 
 /** Drives a balancer's membership protocol under the inventory in force. Thread
- * safe; one lock suffices for a few hundred messages per second.
- */
+ * safe; one lock suffices for a few hundred messages per second. */
 class MemberPlane
 {
 public:
--- a/src/balancer/PacketRouter.h
+++ b/src/balancer/PacketRouter.h
@@ -38,8 +38,7 @@
   /** Replaces the routes for subsequent packets. */
   void SetRoutes(RoutesPtr aRoutes);
 
-  /** While false, which is the initial state, packets are dropped and counted.
-   */
+  /** While false (the default), packets are dropped and counted. */
   void SetReady(bool aReady) { mReady = aReady; }
 
   /** Steers a caller's packet from the fabric. Returns a datagram to an agent,
--- a/src/balancer/RouteTable.h
+++ b/src/balancer/RouteTable.h
@@ -9,8 +9,7 @@
 
 namespace heatherplank {
 
-/** Builds routes from configuration and membership. Thread safe.
- */
+/** Builds routes from configuration and membership. Thread safe. */
 class RouteTable
 {
 public:
--- a/src/balancer/Routes.h
+++ b/src/balancer/Routes.h
@@ -15,14 +15,13 @@
   ServiceId mService;
   /** Null until a membership view of the service exists. */
   ServiceViewPtr mView;
-  /** Suspected members: their heartbeats have been missing for a short time. */
+  /** Suspected members, which missed recent heartbeats. */
   std::vector<HostId> mSuspects;
 };
 
 /** The data path's state by service address. Immutable; replaced as a whole
  * when configuration or membership changes, so that each packet is steered by
- * one consistent state.
- */
+ * one consistent state. */
 struct Routes
 {
   ConfigurationPtr mConfiguration;
--- a/src/balancer/ServiceViews.h
+++ b/src/balancer/ServiceViews.h
@@ -21,8 +21,7 @@
     ServiceViewPtr mView;
     /** The membership view that mView was built from. */
     MemberViewPtr mMembers;
-    /** Suspected members: their heartbeats have been missing for a short time.
-     */
+    /** Suspected members, which missed recent heartbeats. */
     std::vector<HostId> mSuspects;
   };
 
--- a/src/record/GrantShard.cpp
+++ b/src/record/GrantShard.cpp
@@ -89,9 +89,9 @@
   flatbuffers::FlatBufferBuilder builder(EncodedBound());
   auto current = WriteGrants(builder, mCurrent);
   auto previous = WriteGrants(builder, mPrevious);
-  auto faded = builder.CreateVector(mExpiredHashes);
+  auto expired = builder.CreateVector(mExpiredHashes);
   builder.Finish(
-    wire::CreateGrantShard(builder, current, previous, faded, mGeneration));
+    wire::CreateGrantShard(builder, current, previous, expired, mGeneration));
   ByteView bytes = Finished(builder);
   return { bytes.begin(), bytes.end() };
 }
--- a/src/record/GrantShard.h
+++ b/src/record/GrantShard.h
@@ -16,8 +16,7 @@
  *
  * Retention is by generation. A rotation starts a new generation, keeps the
  * grants of the last one, replaces those of the one before by hashes of their
- * keys, and discards the hashes that were held until then.
- */
+ * keys, and discards the hashes that were held until then. */
 class GrantShard
 {
 public:
@@ -32,8 +31,7 @@
   const Grant* Find(const std::string& aKey) const;
   /** True if the key's grant has expired and only its hash remains. */
   bool HasExpired(const std::string& aKey) const;
-  /** Sets the grant of a key. An existing grant is replaced and stays in its
-   * generation. */
+  /** Sets the grant of a key, keeping the generation of an existing one. */
   void Set(const std::string& aKey, const Grant& aGrant);
   void Remove(const std::string& aKey);
   /** Starts a new generation; see the class comment. */
--- a/src/record/PlatformGate.h
+++ b/src/record/PlatformGate.h
@@ -9,8 +9,7 @@
 
 struct PlatformGateOptions
 {
-  /** This process's share of the platform's rate limits, in calls per second.
-   */
+  /** This process's share of the platform's rate limits. */
   double mWritesPerSecond = 300.0 / 7;
   double mReadsPerSecond = 2000.0 / 7;
   /** Capacity of each token bucket, in calls. */
@@ -30,8 +29,7 @@
  * Guards against: at the end of an outage all agents call the platform at once
  * and overload it again. An open breaker admits one probe at a time, after a
  * backoff with seeded jitter, and the token buckets limit the calls that
- * follow to the configured rates.
- */
+ * follow to the configured rates. */
 class PlatformGate
 {
 public:
--- a/src/record/RunOnceActions.h
+++ b/src/record/RunOnceActions.h
@@ -28,8 +28,7 @@
   PlatformSlow,
   /** The deadline passed before the grant was committed. */
   DeadlinePassed,
-  /** The grant was committed, but its holder (stalled, for example) did not
-   * dispatch the request before the deadline. */
+  /** The grant was committed, but a stalled holder missed the deadline. */
   HolderLate,
   /** This process holds the maximum number of keys. */
   TooManyKeys,
@@ -74,8 +73,7 @@
   WriteCondition mCondition;
 };
 
-/** The grant is committed: call MayDispatch, and dispatch if it returns true.
- */
+/** The grant is committed: call MayDispatch, and dispatch if it is true. */
 struct Granted
 {
   RequestToken mRequest = 0;
--- a/src/record/ShardWriter.cpp
+++ b/src/record/ShardWriter.cpp
@@ -42,8 +42,8 @@
 {
   PendingKey write{ aKey, aGrant.mNonce };
   const Grant* present = mContent.Find(aKey);
-  bool landed = present != nullptr && present->mNonce == aGrant.mNonce;
-  if (landed || mInDoubtVersion || mBatch.contains(write)) {
+  bool isCommitted = present != nullptr && present->mNonce == aGrant.mNonce;
+  if (isCommitted || mInDoubtVersion || mBatch.contains(write)) {
     Enqueue(aKey, { ChangeKind::Withdraw, aGrant, 0, aDue });
   } else {
     mPending.erase(write);
--- a/src/record/ShardWriter.h
+++ b/src/record/ShardWriter.h
@@ -104,8 +104,7 @@
 
 /** Writes pending changes to one shard's object. All pending changes go into
  * one conditional write (group commit), with one call in flight at a time. No
- * I/O or clock access; not thread safe.
- */
+ * I/O or clock access; not thread safe. */
 class ShardWriter
 {
 public:
@@ -123,9 +122,7 @@
   /** True if a claim of the key under the nonce is pending. */
   bool IsClaiming(const std::string& aKey, Nonce aNonce) const;
   /** Drops the pending claims of all holders but aExcept, with the outcome
-   * Down. A write in flight may still commit them; their holders then withdraw
-   * them.
-   */
+   * Down. If a write in flight still commits one, its holder withdraws it. */
   std::vector<ShardOutcome> RefuseClaims(HostId aExcept);
 
   /** True if a call should be made now. */
@@ -191,8 +188,7 @@
   PendingWrites mPending;
   std::uint64_t mNextSequence = 1;
   bool mBusy = false;
-  /** True if mContent, at mVersion (0 if absent), can be the base of a write.
-   */
+  /** True if mContent, at mVersion (0 if absent), can be written upon. */
   bool mContentUsable = false;
   Time mContentAt{};
   GrantShard mContent;
@@ -200,8 +196,7 @@
   /** The write in flight: its content and the changes that it carries. */
   GrantShard mProposed;
   PendingWrites mBatch;
-  /** Base version of a write without an answer, which may still be committed.
-   */
+  /** Base version of an unanswered write, which may still be committed. */
   std::optional<std::uint64_t> mInDoubtVersion;
   /** When this process first saw the current generation. */
   Time mGenerationSince{};
