--- a/src/config/AgentConfiguration.cpp
+++ b/src/config/AgentConfiguration.cpp
@@ -15,8 +15,8 @@
 void AgentConfiguration::OnConnected(HostId aBalancer, Time aNow)
 {
   OnDisconnected(aBalancer);
-  mBalancers.push_back({ aBalancer, aNow + mOptions.mAskPeriod });
-  Ask(aBalancer);
+  mBalancers.push_back({ aBalancer, aNow + mOptions.mRequestInterval });
+  SendRequest(aBalancer);
 }
 
 void AgentConfiguration::OnDisconnected(HostId aBalancer)
@@ -26,7 +26,7 @@
   });
 }
 
-void AgentConfiguration::Ask(HostId aBalancer)
+void AgentConfiguration::SendRequest(HostId aBalancer)
 {
   ConfigRequest request;
   request.mVersion = Version();
@@ -38,9 +38,9 @@
 void AgentConfiguration::Tick(Time aNow)
 {
   for (auto& it : mBalancers) {
-    if (aNow >= it.mAskAt) {
-      it.mAskAt = aNow + mOptions.mAskPeriod;
-      Ask(it.mId);
+    if (aNow >= it.mNextRequestAt) {
+      it.mNextRequestAt = aNow + mOptions.mRequestInterval;
+      SendRequest(it.mId);
     }
   }
 }
@@ -51,10 +51,10 @@
   std::visit([&](const auto& aIt) { Handle(aFrom, aIt); }, aMessage);
 }
 
-/** A balancer that was cut off or frozen still pushes what it holds when it
- * comes back. Taken, it would end a drain or bring a removed rule back on this
- * host; the version shows that it is older. */
-bool AgentConfiguration::IsNews(std::uint64_t aVersion)
+/** A balancer that was isolated or suspended still pushes its version when it
+ * resumes. Adopting that version would end a drain or restore a removed rule on
+ * this host, so a lower version is refused. */
+bool AgentConfiguration::IsNewer(std::uint64_t aVersion)
 {
   if (aVersion > Version() ||
       (!mOptions.mRefuseOlder && aVersion != Version())) {
@@ -66,11 +66,11 @@
 
 void AgentConfiguration::Handle(HostId aFrom, const ConfigOffer& aOffer)
 {
-  if (!IsNews(aOffer.mVersion)) {
+  if (!IsNewer(aOffer.mVersion)) {
     return;
   }
   if (!mInForce || aOffer.mRoot != mEntry) {
-    Ask(aFrom);
+    SendRequest(aFrom);
     return;
   }
   auto renumbered = std::make_shared<Configuration>(*mInForce);
@@ -80,13 +80,13 @@
 
 void AgentConfiguration::Handle(HostId, const ConfigObjects& aObjects)
 {
-  if (!IsNews(aObjects.mVersion)) {
+  if (!IsNewer(aObjects.mVersion)) {
     return;
   }
   JsonFaults faults("entry");
   auto parsed = ParseConfiguration(aObjects.mText, aObjects.mVersion, faults);
-  bool own = parsed && parsed->Find(mOptions.mService) != nullptr;
-  if (mOptions.mCheckWhole && !own) {
+  bool hasService = parsed && parsed->Find(mOptions.mService) != nullptr;
+  if (mOptions.mValidate && !hasService) {
     ++mCounters.mRefusedInvalid;
     return;
   }
--- a/src/config/AgentConfiguration.h
+++ b/src/config/AgentConfiguration.h
@@ -8,10 +8,10 @@
 
 namespace heatherplank {
 
-/** An agent's side of configuration distribution: it holds the entry of its
- * own service, at the highest version that it heard of. It asks the balancers
- * that it is connected to; the first answer of a version counts. Pure; not
- * thread safe.
+/** The agent's side of configuration distribution: holds the entry of the
+ * agent's service at the highest version received. It sends requests to the
+ * balancers that it is connected to and adopts the first reply of a version.
+ * No I/O or clock access; not thread safe.
  */
 class AgentConfiguration
 {
@@ -19,31 +19,33 @@
   struct Options
   {
     ServiceId mService;
-    /** How often each balancer is asked, as the net under lost pushes. */
-    Duration mAskPeriod = std::chrono::seconds(1);
-    /** Guard: never take an older version. */
+    /** Interval between requests to each balancer; a request recovers a push
+     * that was lost. */
+    Duration mRequestInterval = std::chrono::seconds(1);
+    /** Guard: refuses older versions. */
     bool mRefuseOlder = true;
-    /** Guard: check the entry before it comes into force. */
-    bool mCheckWhole = true;
+    /** Guard: validates the entry before it comes into force. */
+    bool mValidate = true;
   };
 
   explicit AgentConfiguration(const Options& aOptions);
 
-  /** A connection to a balancer stands, or ended. */
+  /** A connection to a balancer was established, or ended. */
   void OnConnected(HostId aBalancer, Time aNow);
   void OnDisconnected(HostId aBalancer);
 
-  /** A balancer's ConfigOffer or ConfigObjects; others are ignored. */
+  /** Handles a balancer's ConfigOffer or ConfigObjects; ignores other
+   * messages. */
   void OnMessage(HostId aFrom, const ConfigMessage& aMessage, Time aNow);
 
-  /** Call it every 0.1 to 0.5 s. */
+  /** Sends the requests that are due; to be called every 0.1 to 0.5 s. */
   void Tick(Time aNow);
 
-  /** What is to be done since the last call. */
+  /** Returns the actions added since the last call, in order. */
   std::vector<ConfigAction> TakeActions();
 
-  /** The configuration in force, with this service only; null before the
-   * first. */
+  /** The configuration in force, reduced to this service; null before the
+   * first version. */
   const ConfigurationPtr& InForce() const { return mInForce; }
   std::uint64_t Version() const { return mInForce ? mInForce->mVersion : 0; }
   const ConfigCounters& Counters() const { return mCounters; }
@@ -52,14 +54,14 @@
   struct Balancer
   {
     HostId mId;
-    Time mAskAt{};
+    Time mNextRequestAt{};
   };
 
-  void Ask(HostId aBalancer);
+  void SendRequest(HostId aBalancer);
   void Handle(HostId aFrom, const ConfigOffer& aOffer);
   void Handle(HostId aFrom, const ConfigObjects& aObjects);
   void Handle(HostId, const ConfigRequest&) {}
-  bool IsNews(std::uint64_t aVersion);
+  bool IsNewer(std::uint64_t aVersion);
   void PutInForce(ConfigurationPtr aConfiguration, const PartHash& aEntry);
 
   Options mOptions;
--- a/src/config/ConfigActions.h
+++ b/src/config/ConfigActions.h
@@ -11,28 +11,29 @@
 
 namespace heatherplank {
 
-/** Send a message to a balancer or an agent; may be lost. */
+/** Sends a message to a balancer or an agent; it may be lost. */
 struct ConfigSend
 {
   HostId mTo;
   ConfigMessage mMessage;
 };
 
-/** Watch the object config_keys::kHead; its outcome goes to OnWatched. */
+/** Watches the object config_keys::kHead for a version above mAfter, for at
+ * most mWait; the result is passed to OnWatched. */
 struct ConfigWatch
 {
   std::uint64_t mAfter = 0;
   Duration mWait{};
 };
 
-/** Read a part from the platform; its outcome goes to OnFetched. */
+/** Reads a part from the platform; the result is passed to OnFetched. */
 struct ConfigFetch
 {
   PartHash mHash;
   std::string mKey;
 };
 
-/** From now on this configuration is in force. */
+/** This configuration came into force. */
 struct ConfigInForce
 {
   ConfigurationPtr mConfiguration;
@@ -41,20 +42,21 @@
 using ConfigAction =
   std::variant<ConfigSend, ConfigWatch, ConfigFetch, ConfigInForce>;
 
-/** What was refused or repeated, by reason; for the driver's counters. */
+/** Counts of refused versions and retried requests by reason, and of calls to
+ * the platform; exported as metrics. */
 struct ConfigCounters
 {
   /** Offers or heads of an older version than the one in force. */
   std::uint64_t mRefusedOlder = 0;
-  /** The same version with another content. */
+  /** Offers or heads with the version in force but different content. */
   std::uint64_t mRefusedDifferent = 0;
-  /** Versions that failed the check of the whole. */
+  /** Versions that failed validation after their transfer. */
   std::uint64_t mRefusedInvalid = 0;
-  /** Heads or entries that make no sense. */
+  /** Heads that cannot be parsed. */
   std::uint64_t mRefusedMalformed = 0;
-  /** Requests sent again, to another balancer, for want of an answer. */
+  /** Requests retried at another balancer after a timeout. */
   std::uint64_t mRetriedRequests = 0;
-  /** Calls of the platform: all, and those that failed. */
+  /** Calls to the platform: all, and those that failed. */
   std::uint64_t mPlatformCalls = 0;
   std::uint64_t mPlatformFailures = 0;
   std::uint64_t mAdopted = 0;
--- a/src/config/ConfigDistribution.cpp
+++ b/src/config/ConfigDistribution.cpp
@@ -7,17 +7,19 @@
 
 namespace {
 
-/** Remembered heads that failed the check; a bound on hostile input. */
-constexpr std::size_t kMaxRefused = 64;
-/** Parts named in one request; more are asked for when these are there. */
-constexpr std::size_t kMaxWanted = 1024;
+/** Bounds the memory that invalid heads from a faulty or hostile sender take.
+ */
+constexpr std::size_t kMaxRefusedRoots = 64;
+/** Maximum parts in one request; the rest is requested when these have
+ * arrived. */
+constexpr std::size_t kMaxRequestedParts = 1024;
 
 } // namespace
 
 ConfigDistribution::ConfigDistribution(const Options& aOptions, Time aNow)
   : mOptions(aOptions)
   , mRandom(aOptions.mSeed)
-  , mPeers(aOptions.mSelf, aOptions.mWatchers, aOptions.mFanout)
+  , mPeers(aOptions.mSelf, aOptions.mWatchersPerDataCentre, aOptions.mFanout)
   , mPlatform(aOptions.mPlatform, mRandom(), aNow)
 {
 }
@@ -65,39 +67,41 @@
 
 void ConfigDistribution::SendDigest(Time aNow)
 {
-  // Half to one and a half periods, so that balancers that started together
-  // do not stay in step.
-  auto period = mOptions.mDigestPeriod.count();
-  std::uniform_int_distribution<Duration::rep> draw(period / 2, 3 * period / 2);
+  // Draws 0.5 to 1.5 intervals, so that balancers that started together do not
+  // send their digests at the same time.
+  auto interval = mOptions.mDigestInterval.count();
+  std::uniform_int_distribution<Duration::rep> draw(interval / 2,
+                                                    3 * interval / 2);
   mDigestAt = aNow + Duration(draw(mRandom));
   ConfigOffer digest;
   digest.mVersion = Version();
-  digest.mRoot = mHeld.Root();
+  digest.mRoot = mCurrent.Root();
   for (auto it : mPeers.DigestTargets(mRandom)) {
     Send(it, digest);
   }
 }
 
-/** Guards the promise that an accepted configuration never reverts. A balancer
- * that was cut off, frozen or started from a stale replica offers what it
- * holds; taken, it would end a drain or send packets to an address's former
- * service. Versions only grow, so whatever is not higher is refused, from any
+/** Guards against reverting an accepted configuration. A balancer that was
+ * isolated, suspended or started from a stale replica offers an older version,
+ * which would end a drain or send packets to an address's former service.
+ * Versions only increase, so a version that is not higher is refused from any
  * source.
  */
-bool ConfigDistribution::IsNews(std::uint64_t aVersion, const PartHash& aRoot)
+bool ConfigDistribution::ShouldAdopt(std::uint64_t aVersion,
+                                     const PartHash& aRoot)
 {
-  std::uint64_t mine = Version();
-  if (aVersion < mine) {
-    // A balancer that has none yet offers 0; that is a question.
+  std::uint64_t current = Version();
+  if (aVersion < current) {
+    // A balancer without a configuration offers version 0 to request one.
     mCounters.mRefusedOlder += aVersion != 0 ? 1 : 0;
     return !mOptions.mRefuseOlder && aVersion != 0;
   }
-  if (aVersion == mine) {
-    bool differs = mine != 0 && aRoot != mHeld.Root();
+  if (aVersion == current) {
+    bool differs = current != 0 && aRoot != mCurrent.Root();
     mCounters.mRefusedDifferent += differs ? 1 : 0;
     return false;
   }
-  return !mRefused.contains(aRoot);
+  return !mRefusedRoots.contains(aRoot);
 }
 
 void ConfigDistribution::Handle(HostId aFrom, const ConfigOffer& aOffer,
@@ -106,33 +110,33 @@
   if (aOffer.mVersion < Version()) {
     Send(aFrom, mOffer);
   }
-  if (!IsNews(aOffer.mVersion, aOffer.mRoot)) {
+  if (!ShouldAdopt(aOffer.mVersion, aOffer.mRoot)) {
     return;
   }
   if (mTarget && aOffer.mVersion <= mTarget->Version() &&
       mOptions.mRefuseOlder) {
-    // Being completed already; a watcher whose platform is slow takes the rest
-    // from this balancer.
-    if (mAsked.IsNone() && aOffer.mVersion == mTarget->Version()) {
-      AskForMissing(aFrom, aNow);
+    // This version is being transferred already. A watcher that waits for a
+    // slow platform requests the missing parts from this balancer.
+    if (mRequestedFrom.IsNone() && aOffer.mVersion == mTarget->Version()) {
+      RequestMissingParts(aFrom, aNow);
     }
     return;
   }
-  auto head = mHeld.ApplyOffer(aOffer);
+  auto head = mCurrent.ApplyOffer(aOffer);
   if (!head && mTarget) {
     head = mTarget->ApplyOffer(aOffer);
   }
   if (head) {
-    mAsked = aFrom;
-    Begin(std::move(*head), aNow);
+    mRequestedFrom = aFrom;
+    BeginTransfer(std::move(*head), aNow);
     return;
   }
-  if (!mAsked.IsNone() && mAskedVersion >= aOffer.mVersion) {
+  if (!mRequestedFrom.IsNone() && mRequestedVersion >= aOffer.mVersion) {
     return;
   }
-  mAsked = aFrom;
-  mAskedVersion = aOffer.mVersion;
-  mAskedAt = aNow;
+  mRequestedFrom = aFrom;
+  mRequestedVersion = aOffer.mVersion;
+  mRequestedAt = aNow;
   ConfigRequest request;
   request.mVersion = Version();
   request.mWantsHead = true;
@@ -149,12 +153,13 @@
   ConfigObjects out;
   out.mVersion = Version();
   if (aRequest.mWantsHead) {
-    out.mText = mHeld.Text();
+    out.mText = mCurrent.Text();
   }
   std::size_t size = 0;
   for (const auto& it : aRequest.mParts) {
-    auto part = mHeld.Find(it);
-    if (part && (size == 0 || size + part->size() <= mOptions.mMaxMessage)) {
+    auto part = mCurrent.FindPart(it);
+    if (part &&
+        (size == 0 || size + part->size() <= mOptions.mMaxMessageBytes)) {
       size += part->size();
       out.mParts.push_back(*part);
     }
@@ -162,7 +167,7 @@
   if (!out.mText.empty() || !out.mParts.empty()) {
     Send(aFrom, std::move(out));
   } else if (mInForce) {
-    // It wants parts of a version that was replaced here.
+    // The requested parts belong to a version that was replaced here.
     Send(aFrom, mOffer);
   }
 }
@@ -171,21 +176,21 @@
                                 Time aNow)
 {
   if (!aObjects.mText.empty()) {
-    mAsked = aFrom;
-    mAskedVersion = 0;
-    BeginText(aObjects.mText, aNow);
+    mRequestedFrom = aFrom;
+    mRequestedVersion = 0;
+    BeginTransferFromText(aObjects.mText, aNow);
   }
   bool added = false;
   for (const auto& it : aObjects.mParts) {
-    added = (mTarget && mTarget->Add(it)) || added;
+    added = (mTarget && mTarget->AddPart(it)) || added;
   }
   if (!added) {
     return;
   }
   if (mTarget->IsComplete()) {
-    Complete(aNow);
-  } else if (aFrom == mAsked) {
-    AskForMissing(aFrom, aNow);
+    FinishTransfer(aNow);
+  } else if (aFrom == mRequestedFrom) {
+    RequestMissingParts(aFrom, aNow);
   }
 }
 
@@ -194,9 +199,9 @@
 {
   auto object = mPlatform.OnWatched(std::move(aResult), aNow);
   if (object) {
-    mAsked = {};
-    mFetchAt = aNow + mOptions.mFetchStep * mPeers.WatcherRank();
-    BeginText(object->mValue, aNow);
+    mRequestedFrom = {};
+    mFetchAt = aNow + mOptions.mFetchDelayPerRank * mPeers.WatcherRank();
+    BeginTransferFromText(object->mValue, aNow);
   }
 }
 
@@ -204,13 +209,14 @@
                                    Result<Object> aResult, Time aNow)
 {
   auto text = mPlatform.OnFetched(aHash, std::move(aResult), aNow);
-  if (text && mTarget && mTarget->Add(std::move(*text)) &&
+  if (text && mTarget && mTarget->AddPart(std::move(*text)) &&
       mTarget->IsComplete()) {
-    Complete(aNow);
+    FinishTransfer(aNow);
   }
 }
 
-void ConfigDistribution::BeginText(const std::string& aText, Time aNow)
+void ConfigDistribution::BeginTransferFromText(const std::string& aText,
+                                               Time aNow)
 {
   auto head = ParseHead(aText);
   if (!head) {
@@ -219,32 +225,32 @@
   }
   bool higher =
     !mTarget || head->mVersion > mTarget->Version() || !mOptions.mRefuseOlder;
-  if (IsNews(head->mVersion, HashPart(aText)) && higher) {
-    Begin(std::move(*head), aNow);
+  if (ShouldAdopt(head->mVersion, HashPart(aText)) && higher) {
+    BeginTransfer(std::move(*head), aNow);
   }
 }
 
-/** Starts to complete a version; its parts come from mAsked or, if that is
- * none, from the platform. */
-void ConfigDistribution::Begin(ConfigurationHead aHead, Time aNow)
+/** Starts the transfer of a version. Its parts come from mRequestedFrom or, if
+ * mRequestedFrom is none, from the platform. */
+void ConfigDistribution::BeginTransfer(ConfigurationHead aHead, Time aNow)
 {
-  mTarget.emplace(std::move(aHead), mHeld);
+  mTarget.emplace(std::move(aHead), mCurrent);
   if (mTarget->IsComplete()) {
-    Complete(aNow);
-  } else if (!mAsked.IsNone()) {
-    AskForMissing(mAsked, aNow);
+    FinishTransfer(aNow);
+  } else if (!mRequestedFrom.IsNone()) {
+    RequestMissingParts(mRequestedFrom, aNow);
   }
 }
 
-void ConfigDistribution::AskForMissing(HostId aFrom, Time aNow)
+void ConfigDistribution::RequestMissingParts(HostId aFrom, Time aNow)
 {
-  mAsked = aFrom;
-  mAskedVersion = mTarget->Version();
-  mAskedAt = aNow;
+  mRequestedFrom = aFrom;
+  mRequestedVersion = mTarget->Version();
+  mRequestedAt = aNow;
   ConfigRequest request;
   request.mVersion = mTarget->Version();
   for (const auto& it : mTarget->Missing()) {
-    if (request.mParts.size() >= kMaxWanted) {
+    if (request.mParts.size() >= kMaxRequestedParts) {
       break;
     }
     request.mParts.push_back(it.first);
@@ -252,46 +258,48 @@
   Send(aFrom, std::move(request));
 }
 
-/** An asked balancer that died, or lost our request, would leave us behind
- * until the next digest; another one is asked instead. A watcher whose
- * platform does not answer asks its peers as well. */
+/** After a timeout, repeats the request at another balancer. Otherwise, if the
+ * first balancer died or the request was lost, this one would not catch up
+ * until the next digest. A watcher whose platform does not answer requests from
+ * its peers in the same way. */
 void ConfigDistribution::RetryRequest(Time aNow)
 {
-  if (mAskedVersion == 0 || aNow < mAskedAt + mOptions.mAnswerTimeout) {
+  if (mRequestedVersion == 0 || aNow < mRequestedAt + mOptions.mAnswerTimeout) {
     return;
   }
   ++mCounters.mRetriedRequests;
-  HostId other = mPeers.Another(mAsked, mRandom);
-  mAsked = {};
-  mAskedVersion = 0;
+  HostId other = mPeers.PickOther(mRequestedFrom, mRandom);
+  mRequestedFrom = {};
+  mRequestedVersion = 0;
   if (!other.IsNone() && mTarget) {
-    AskForMissing(other, aNow);
+    RequestMissingParts(other, aNow);
   }
 }
 
-void ConfigDistribution::Complete(Time)
+void ConfigDistribution::FinishTransfer(Time)
 {
   ConfigTransfer done = std::move(*mTarget);
   mTarget.reset();
-  mAsked = {};
-  mAskedVersion = 0;
-  // What arrives may be damaged, or come from a release with other checks.
-  // Without the check here a process would run with two services at one
-  // address, and packets would reach the wrong one; so it keeps what it has.
+  mRequestedFrom = {};
+  mRequestedVersion = 0;
+  // A received version may be damaged, or come from a release that validates
+  // differently. Without validation here a process could run with two services
+  // at one address, and packets would reach the wrong one. The version in force
+  // stays instead.
   auto whole = done.Assemble(mAssembler);
-  if (!whole && mOptions.mCheckWhole) {
+  if (!whole && mOptions.mValidate) {
     ++mCounters.mRefusedInvalid;
-    if (mRefused.size() >= kMaxRefused) {
-      mRefused.clear();
+    if (mRefusedRoots.size() >= kMaxRefusedRoots) {
+      mRefusedRoots.clear();
     }
-    mRefused.insert(done.Root());
+    mRefusedRoots.insert(done.Root());
     return;
   }
   auto empty = std::make_shared<Configuration>();
   empty->mVersion = done.Version();
   mInForce = whole ? *whole : std::move(empty);
-  mOffer = done.MakeOffer(mHeld);
-  mHeld = std::move(done);
+  mOffer = done.MakeOffer(mCurrent);
+  mCurrent = std::move(done);
   ++mCounters.mAdopted;
   mActions.emplace_back(ConfigInForce{ mInForce });
   for (auto it : mPeers.PushTargets(Version())) {
--- a/src/config/ConfigDistribution.h
+++ b/src/config/ConfigDistribution.h
@@ -18,16 +18,18 @@
 
 namespace heatherplank {
 
-/** A balancer's part in bringing each accepted configuration into force
- * everywhere within seconds, and never an older one. Events go in, actions
- * come out; it does no I/O and takes no lock. Pure; not thread safe.
+/** The balancer's side of configuration distribution: brings each accepted
+ * configuration into force on every balancer and agent within seconds, and
+ * never an older one. Takes events and returns actions. No I/O, locks or clock
+ * access; not thread safe.
  *
- * A few watchers a data centre see a new version at the platform and fetch the
- * parts that changed. Whoever puts a version in force offers it to its
- * children in two trees over the data centre; who lacks it asks for the parts
- * it misses, so that content travels once to each. A digest a second to a
- * random balancer finds what a lost offer, a dead parent or a cut-off watcher
- * left behind. Agents get the entry of their own service.
+ * A few watchers per data centre watch the platform for a new version and fetch
+ * the parts that changed. A balancer that puts a version in force offers it to
+ * its children in two trees over the data centre; a receiver requests the parts
+ * that it lacks, so that content is sent once to each balancer. Each balancer
+ * also sends a digest about once a second to a random balancer of its own and
+ * of another data centre, which repairs a lost offer, a dead parent and an
+ * isolated watcher. An agent receives the entry of its service.
  */
 class ConfigDistribution
 {
@@ -36,50 +38,52 @@
   {
     ConfigPeer mSelf;
     std::uint64_t mSeed = 1;
-    /** Two may die at once and the third still watches; each costs a waiting
-     * call and a read a change at the platform. */
-    std::size_t mWatchers = 3;
-    /** With 4 a data centre of 200 is 4 levels deep, and a balancer sends 8
-     * offers of 200 bytes a change. */
+    /** With 3, two watchers may die at the same time and one still watches.
+     * Each costs one open watch and one read per change at the platform. */
+    std::size_t mWatchersPerDataCentre = 3;
+    /** Children per tree. With 4 the trees over 200 balancers have 4 levels,
+     * and a balancer sends 8 offers of 200 bytes per change. */
     std::size_t mFanout = 4;
-    Duration mDigestPeriod = std::chrono::seconds(1);
-    /** How long an asked balancer may take before another one is asked. */
+    Duration mDigestInterval = std::chrono::seconds(1);
+    /** Time after which a request is repeated at another balancer. */
     Duration mAnswerTimeout = std::chrono::milliseconds(400);
-    /** How much later each further watcher of a data centre reads parts from
-     * the platform: by then it has them from the first one, unless that one
-     * died. Without it each change costs three times the reads. */
-    Duration mFetchStep = std::chrono::milliseconds(300);
-    /** Bytes of parts in one message; the rest is asked for again. */
-    std::size_t mMaxMessage = std::size_t{ 256 } * 1024;
+    /** A watcher waits this long, times its rank, before it reads parts from
+     * the platform: by then it has them from the first watcher, unless that
+     * one died. Without the delay each change costs three times the reads. */
+    Duration mFetchDelayPerRank = std::chrono::milliseconds(300);
+    /** Maximum bytes of parts in one message; the receiver requests the rest
+     * again. */
+    std::size_t mMaxMessageBytes = std::size_t{ 256 } * 1024;
     ConfigPlatform::Options mPlatform;
-    /** Guards, off only in tests that show what they are for. */
+    /** Guards; off only in tests that show the failure each one prevents. */
     bool mRefuseOlder = true;
-    bool mCheckWhole = true;
+    bool mValidate = true;
     bool mDigests = true;
   };
 
   ConfigDistribution(const Options& aOptions, Time aNow);
 
-  /** The balancers that are believed to live, of all data centres. */
+  /** Sets the balancers believed to be alive, of all data centres. */
   void SetPeers(std::span<const ConfigPeer> aPeers);
 
-  /** A message of a balancer or an agent. */
+  /** Handles a message from a balancer or an agent. */
   void OnMessage(HostId aFrom, const ConfigMessage& aMessage, Time aNow);
 
   /** An agent's connection ended. */
   void OnAgentGone(HostId aAgent) { mSubscribers.Remove(aAgent); }
 
-  /** The outcome of a ConfigWatch or ConfigFetch. */
+  /** Handles the result of a ConfigWatch or a ConfigFetch. */
   void OnWatched(Result<std::optional<Object>> aResult, Time aNow);
   void OnFetched(const PartHash& aHash, Result<Object> aResult, Time aNow);
 
-  /** Call it every 50 to 200 ms, and after OnWatched and OnFetched. */
+  /** Adds the calls and messages that are due; to be called every 50 to
+   * 200 ms, and after OnWatched and OnFetched. */
   void Tick(Time aNow);
 
-  /** What is to be done since the last call, in order. */
+  /** Returns the actions added since the last call, in order. */
   std::vector<ConfigAction> TakeActions();
 
-  /** The configuration in force; null before the first. */
+  /** The configuration in force; null before the first version. */
   const ConfigurationPtr& InForce() const { return mInForce; }
   std::uint64_t Version() const { return mInForce ? mInForce->mVersion : 0; }
   ConfigCounters Counters() const;
@@ -89,11 +93,11 @@
   void Handle(HostId aFrom, const ConfigOffer& aOffer, Time aNow);
   void Handle(HostId aFrom, const ConfigRequest& aRequest, Time aNow);
   void Handle(HostId aFrom, const ConfigObjects& aObjects, Time aNow);
-  bool IsNews(std::uint64_t aVersion, const PartHash& aRoot);
-  void Begin(ConfigurationHead aHead, Time aNow);
-  void BeginText(const std::string& aText, Time aNow);
-  void Complete(Time aNow);
-  void AskForMissing(HostId aFrom, Time aNow);
+  bool ShouldAdopt(std::uint64_t aVersion, const PartHash& aRoot);
+  void BeginTransfer(ConfigurationHead aHead, Time aNow);
+  void BeginTransferFromText(const std::string& aText, Time aNow);
+  void FinishTransfer(Time aNow);
+  void RequestMissingParts(HostId aFrom, Time aNow);
   void SendDigest(Time aNow);
   void RetryRequest(Time aNow);
   void Send(HostId aTo, ConfigMessage aMessage);
@@ -105,18 +109,20 @@
   ConfigSubscribers mSubscribers;
   ConfigurationAssembler mAssembler;
   ConfigurationPtr mInForce;
-  /** The version in force, and the one before for offers of the changes. */
-  ConfigTransfer mHeld;
+  /** The version in force, and the offer that announces it with the changes
+   * from the version before. */
+  ConfigTransfer mCurrent;
   ConfigOffer mOffer;
-  /** A higher version that is being completed. */
+  /** The higher version that is being transferred, if any. */
   std::optional<ConfigTransfer> mTarget;
-  /** The balancer that was asked, for the head of mAskedVersion or for parts
-   * of mTarget; none if nobody is. */
-  HostId mAsked;
-  std::uint64_t mAskedVersion = 0;
-  Time mAskedAt{};
-  /** Heads that failed the check; they are not fetched again. */
-  std::set<PartHash> mRefused;
+  /** The balancer with a pending request, for the head of mRequestedVersion or
+   * for parts of mTarget; none if no request is pending. */
+  HostId mRequestedFrom;
+  std::uint64_t mRequestedVersion = 0;
+  Time mRequestedAt{};
+  /** Hashes of heads that failed validation; they are not transferred again.
+   */
+  std::set<PartHash> mRefusedRoots;
   Time mDigestAt{};
   /** When this watcher may read the parts of mTarget from the platform. */
   Time mFetchAt{};
--- a/src/config/ConfigMessages.h
+++ b/src/config/ConfigMessages.h
@@ -10,7 +10,8 @@
 
 namespace heatherplank {
 
-/** A part that differs from the version before. */
+/** A part that differs from the previous version, and its index in the head.
+ */
 struct PartChange
 {
   std::uint32_t mIndex = 0;
@@ -19,9 +20,10 @@
   bool operator==(const PartChange&) const = default;
 };
 
-/** "I run this version", pushed when it is new and as a digest now and then.
- * The changes, if any, lead from the head that has mBaseRoot to this one, so
- * that a receiver which holds that head needs only the changed parts.
+/** Announces the sender's version: pushed when the version comes into force,
+ * and sent periodically as a digest. The changes, if any, turn the head with
+ * hash mBaseRoot into this one, so that a receiver with that head needs only
+ * the changed parts.
  */
 struct ConfigOffer
 {
@@ -37,14 +39,14 @@
   bool operator==(const ConfigOffer&) const = default;
 };
 
-/** What the sender lacks. */
+/** Requests a head, parts, or an agent's entry that the sender lacks. */
 struct ConfigRequest
 {
-  /** The version that the sender holds or, for parts, is completing. */
+  /** The sender's version or, for parts, the version that it transfers. */
   std::uint64_t mVersion = 0;
-  /** With an agent: its service; it gets its entry and later changes of it. */
+  /** From an agent: its service, whose entry and later changes it receives. */
   ServiceId mService;
-  /** With an agent: hash of the entry that it holds. */
+  /** From an agent: hash of the entry that it holds. */
   PartHash mRoot;
   bool mWantsHead = false;
   std::vector<PartHash> mParts;
@@ -52,11 +54,12 @@
   bool operator==(const ConfigRequest&) const = default;
 };
 
-/** What was asked for, or as much of it as fits one message. */
+/** Answers a ConfigRequest with as many parts as fit one message. */
 struct ConfigObjects
 {
   std::uint64_t mVersion = 0;
-  /** A head's text or, for an agent, its service's entry; may be empty. */
+  /** The text of a head or, for an agent, the entry of its service; may be
+   * empty. */
   std::string mText;
   std::vector<std::string> mParts;
 
--- a/src/config/ConfigPlatform.cpp
+++ b/src/config/ConfigPlatform.cpp
@@ -9,11 +9,11 @@
                                Time aNow)
   : mOptions(aOptions)
   , mBucket(aOptions.mCallsPerSecond, aOptions.mBurst, aNow)
-  , mBackoff(aOptions.mFirstPause, aOptions.mLongestPause, aSeed)
+  , mBackoff(aOptions.mInitialBackoff, aOptions.mMaxBackoff, aSeed)
 {
 }
 
-bool ConfigPlatform::MayCall(Time aNow)
+bool ConfigPlatform::TryBeginCall(Time aNow)
 {
   if (aNow < mPausedUntil || !mBucket.TryTake(aNow)) {
     return false;
@@ -29,34 +29,35 @@
   if (!aIsWatcher) {
     return;
   }
-  if (!mIsWatching && MayCall(aNow)) {
+  if (!mIsWatching && TryBeginCall(aNow)) {
     mIsWatching = true;
-    aOut.emplace_back(ConfigWatch{ mAfter, mOptions.mWatchWait });
+    aOut.emplace_back(
+      ConfigWatch{ mHeadObjectVersion, mOptions.mWatchTimeout });
   }
   for (const auto& [hash, part] : aMissing) {
-    if (mFetching.size() >= mOptions.mFetchesAtOnce) {
+    if (mFetchesInFlight.size() >= mOptions.mMaxConcurrentFetches) {
       return;
     }
-    if (mFetching.contains(hash)) {
+    if (mFetchesInFlight.contains(hash)) {
       continue;
     }
-    if (!MayCall(aNow)) {
+    if (!TryBeginCall(aNow)) {
       return;
     }
-    mFetching.insert(hash);
+    mFetchesInFlight.insert(hash);
     aOut.emplace_back(ConfigFetch{ hash, config_keys::Part(part) });
   }
 }
 
-/** Without back-off a watcher would call a platform that is down as fast as it
- * refuses; without the draw all watchers, whose watches broke at the same
- * moment, would come back at the same moments too.
+/** Without back-off a watcher would call an unavailable platform as fast as the
+ * calls fail. Without jitter all watchers, whose watches failed at the same
+ * time, would retry at the same times.
  */
-void ConfigPlatform::Failed(Time aNow)
+void ConfigPlatform::RecordFailure(Time aNow)
 {
   ++mFailures;
   Duration pause = mBackoff.Next();
-  mPausedUntil = aNow + (mOptions.mJitter ? pause : mOptions.mFirstPause);
+  mPausedUntil = aNow + (mOptions.mJitter ? pause : mOptions.mInitialBackoff);
 }
 
 std::optional<Object> ConfigPlatform::OnWatched(
@@ -64,12 +65,12 @@
 {
   mIsWatching = false;
   if (!aResult) {
-    Failed(aNow);
+    RecordFailure(aNow);
     return std::nullopt;
   }
   mBackoff.Reset();
   if (*aResult) {
-    mAfter = std::max(mAfter, (*aResult)->mVersion);
+    mHeadObjectVersion = std::max(mHeadObjectVersion, (*aResult)->mVersion);
   }
   return std::move(*aResult);
 }
@@ -78,9 +79,9 @@
                                                      Result<Object> aResult,
                                                      Time aNow)
 {
-  mFetching.erase(aHash);
+  mFetchesInFlight.erase(aHash);
   if (!aResult) {
-    Failed(aNow);
+    RecordFailure(aNow);
     return std::nullopt;
   }
   mBackoff.Reset();
--- a/src/config/ConfigPlatform.h
+++ b/src/config/ConfigPlatform.h
@@ -11,42 +11,43 @@
 
 namespace heatherplank {
 
-/** A watcher's calls of the platform: which to make when. Pure; not thread
- * safe.
+/** Schedules a watcher's calls to the platform: the watch of the head object
+ * and the reads of parts, within a call rate and with back-off after failures.
+ * No I/O or clock access; not thread safe.
  */
 class ConfigPlatform
 {
 public:
   struct Options
   {
-    Duration mWatchWait = std::chrono::seconds(20);
-    /** A watcher makes 0.05 calls a second at rest and one or two a change.
-     * The rate leaves room for a first copy of 513 parts in eight seconds, and
-     * keeps the one watcher of each of 13 data centres that reads parts under
-     * half of the platform's rate together. */
+    Duration mWatchTimeout = std::chrono::seconds(20);
+    /** A watcher makes 0.05 calls/s at rest and one or two per change. This
+     * rate allows a first copy of 513 parts in 8 s, and keeps the reading
+     * watchers of 13 data centres, one each, below half of the platform's rate
+     * in total. */
     double mCallsPerSecond = 64;
     double mBurst = 64;
-    std::size_t mFetchesAtOnce = 8;
-    Duration mFirstPause = std::chrono::milliseconds(200);
-    /** After an outage all watchers are back within this time, and no two at
-     * once, but by chance. */
-    Duration mLongestPause = std::chrono::seconds(10);
-    /** Guard: pauses are drawn, not fixed. */
+    std::size_t mMaxConcurrentFetches = 8;
+    Duration mInitialBackoff = std::chrono::milliseconds(200);
+    /** After an outage all watchers have called again within this time, at
+     * random moments. */
+    Duration mMaxBackoff = std::chrono::seconds(10);
+    /** Guard: draws each pause at random instead of using a fixed one. */
     bool mJitter = true;
   };
 
   ConfigPlatform(const Options& aOptions, std::uint64_t aSeed, Time aNow);
 
-  /** Adds the calls that are due. aMissing are the parts to be fetched. */
+  /** Adds the calls that are due; aMissing are the parts to fetch. */
   void Tick(Time aNow, bool aIsWatcher,
             const std::map<PartHash, PartRef>& aMissing,
             std::vector<ConfigAction>& aOut);
 
-  /** A watch ended; the object, if it brought one. */
+  /** Handles the end of a watch; returns the head object if it changed. */
   std::optional<Object> OnWatched(Result<std::optional<Object>> aResult,
                                   Time aNow);
 
-  /** A read of a part ended; its text, if it brought one. */
+  /** Handles the end of a read; returns the part's text if it succeeded. */
   std::optional<std::string> OnFetched(const PartHash& aHash,
                                        Result<Object> aResult, Time aNow);
 
@@ -54,17 +55,18 @@
   std::uint64_t Failures() const { return mFailures; }
 
 private:
-  void Failed(Time aNow);
-  bool MayCall(Time aNow);
+  void RecordFailure(Time aNow);
+  bool TryBeginCall(Time aNow);
 
   Options mOptions;
   TokenBucket mBucket;
   Backoff mBackoff;
   bool mIsWatching = false;
-  std::set<PartHash> mFetching;
+  std::set<PartHash> mFetchesInFlight;
   Time mPausedUntil{};
-  /** Version of the head object that was seen last. */
-  std::uint64_t mAfter = 0;
+  /** The head object's version as last read; the watch waits for a higher one.
+   */
+  std::uint64_t mHeadObjectVersion = 0;
   std::uint64_t mCalls = 0;
   std::uint64_t mFailures = 0;
 };
--- a/src/config/ConfigSubscribers.cpp
+++ b/src/config/ConfigSubscribers.cpp
@@ -12,20 +12,20 @@
 ServiceEntry MakeServiceEntry(const Configuration& aConfiguration,
                               ServiceId aService)
 {
-  Configuration only;
-  only.mDataCentres = aConfiguration.mDataCentres;
-  only.mPolicy = aConfiguration.mPolicy;
+  Configuration reduced;
+  reduced.mDataCentres = aConfiguration.mDataCentres;
+  reduced.mPolicy = aConfiguration.mPolicy;
   if (const Service* service = aConfiguration.Find(aService)) {
-    only.mServices.emplace(aService, *service);
+    reduced.mServices.emplace(aService, *service);
     for (const auto& it : aConfiguration.mDrainedHosts) {
       if (std::ranges::find(service->mHosts, it, &ExpectedHost::mName) !=
           service->mHosts.end()) {
-        only.mDrainedHosts.push_back(it);
+        reduced.mDrainedHosts.push_back(it);
       }
     }
   }
   ServiceEntry out;
-  out.mText = boost::json::serialize(ToJson(only));
+  out.mText = boost::json::serialize(ToJson(reduced));
   out.mHash = HashPart(out.mText);
   return out;
 }
@@ -45,12 +45,12 @@
   return it->second;
 }
 
-void ConfigSubscribers::Tell(HostId aTo, Agent& aAgent,
-                             const ConfigurationPtr& aInForce,
-                             std::vector<ConfigAction>& aOut)
+void ConfigSubscribers::Notify(HostId aTo, Agent& aAgent,
+                               const ConfigurationPtr& aInForce,
+                               std::vector<ConfigAction>& aOut)
 {
-  // A service that is not, or no longer, in the inventory has no entry; its
-  // agent keeps what it has, and balancers send it nothing.
+  // A service that is not in the inventory has no entry: its agent keeps its
+  // last configuration, and balancers send it nothing.
   if (aInForce->Find(aAgent.mService) == nullptr) {
     return;
   }
@@ -74,7 +74,7 @@
   Agent& agent = mAgents[aAgent];
   agent = { aRequest.mService, aRequest.mRoot };
   if (aInForce && aRequest.mVersion < aInForce->mVersion) {
-    Tell(aAgent, agent, aInForce, aOut);
+    Notify(aAgent, agent, aInForce, aOut);
   }
 }
 
@@ -82,7 +82,7 @@
                                   std::vector<ConfigAction>& aOut)
 {
   for (auto& [id, agent] : mAgents) {
-    Tell(id, agent, aInForce, aOut);
+    Notify(id, agent, aInForce, aOut);
   }
 }
 
--- a/src/config/ConfigSubscribers.h
+++ b/src/config/ConfigSubscribers.h
@@ -11,29 +11,32 @@
 
 namespace heatherplank {
 
-/** A service's entry: the configuration with this service alone. An agent
- * needs no more, and gets no more. Thread safe, both. */
+/** A service's entry: the configuration reduced to this service, which is all
+ * that an agent receives. */
 struct ServiceEntry
 {
   std::string mText;
   PartHash mHash;
 };
+
+/** Makes the entry of a service. Thread safe. */
 ServiceEntry MakeServiceEntry(const Configuration& aConfiguration,
                               ServiceId aService);
 
-/** The agents that take their configuration from this balancer. Pure; not
- * thread safe.
+/** The agents that receive their configuration from this balancer. No I/O or
+ * clock access; not thread safe.
  */
 class ConfigSubscribers
 {
 public:
-  /** An agent asked: it is remembered, and answered if it lacks something. */
+  /** Handles an agent's request: registers the agent, and answers if its
+   * version is lower than the one in force. */
   void OnRequest(HostId aAgent, const ConfigRequest& aRequest,
                  const ConfigurationPtr& aInForce,
                  std::vector<ConfigAction>& aOut);
 
-  /** A new version is in force: each agent gets its entry if that changed,
-   * else only the version's number. */
+  /** A new version is in force: sends each agent its entry if the entry
+   * changed, otherwise only the version number. */
   void OnInForce(const ConfigurationPtr& aInForce,
                  std::vector<ConfigAction>& aOut);
 
@@ -44,17 +47,18 @@
   struct Agent
   {
     ServiceId mService;
-    /** The entry that it was last sent or said to hold. */
+    /** Hash of the entry that was last sent to the agent or that it reported.
+     */
     PartHash mEntry;
   };
 
   const ServiceEntry& EntryOf(const ConfigurationPtr& aInForce,
                               ServiceId aService);
-  void Tell(HostId aTo, Agent& aAgent, const ConfigurationPtr& aInForce,
-            std::vector<ConfigAction>& aOut);
+  void Notify(HostId aTo, Agent& aAgent, const ConfigurationPtr& aInForce,
+              std::vector<ConfigAction>& aOut);
 
   std::map<HostId, Agent> mAgents;
-  /** Entries of the version in force, made when first asked for. */
+  /** Entries of the version in force, made on first use. */
   std::uint64_t mEntriesVersion = 0;
   std::map<ServiceId, ServiceEntry> mEntries;
 };
--- a/src/config/ConfigTransfer.cpp
+++ b/src/config/ConfigTransfer.cpp
@@ -7,20 +7,20 @@
 
 namespace {
 
-/** With more changes than this an offer carries none: it goes to several
- * balancers, and most of them would get the list in vain. */
+/** An offer with more changes than this carries none: it is sent to several
+ * balancers, most of which would not need the list. */
 constexpr std::size_t kMaxChanges = 32;
 
 } // namespace
 
 ConfigTransfer::ConfigTransfer(ConfigurationHead aHead,
-                               const ConfigTransfer& aFrom)
+                               const ConfigTransfer& aPrevious)
   : mHead(std::move(aHead))
   , mText(SerializeHead(mHead))
   , mRoot(HashPart(mText))
 {
   for (const auto& it : mHead.mParts) {
-    if (Part part = aFrom.Find(it.mHash)) {
+    if (Part part = aPrevious.FindPart(it.mHash)) {
       mParts.emplace(it.mHash, std::move(part));
     } else {
       mMissing.emplace(it.mHash, it);
@@ -28,7 +28,7 @@
   }
 }
 
-bool ConfigTransfer::Add(std::string aPart)
+bool ConfigTransfer::AddPart(std::string aPart)
 {
   PartHash hash = HashPart(aPart);
   if (mMissing.erase(hash) == 0) {
@@ -38,7 +38,7 @@
   return true;
 }
 
-ConfigTransfer::Part ConfigTransfer::Find(const PartHash& aHash) const
+ConfigTransfer::Part ConfigTransfer::FindPart(const PartHash& aHash) const
 {
   auto it = mParts.find(aHash);
   return it == mParts.end() ? nullptr : it->second;
--- a/src/config/ConfigTransfer.h
+++ b/src/config/ConfigTransfer.h
@@ -13,8 +13,8 @@
 
 namespace heatherplank {
 
-/** A version being completed, or complete: its head and those of its parts
- * that are there. Parts are shared between versions. Not thread safe.
+/** A version whose transfer is under way or complete: its head, and the parts
+ * received so far. Parts are shared between versions. Not thread safe.
  */
 class ConfigTransfer
 {
@@ -23,8 +23,8 @@
 
   ConfigTransfer() = default;
 
-  /** Begins a version; parts that aFrom already has are taken over. */
-  ConfigTransfer(ConfigurationHead aHead, const ConfigTransfer& aFrom);
+  /** Begins a transfer; parts that aPrevious has are reused. */
+  ConfigTransfer(ConfigurationHead aHead, const ConfigTransfer& aPrevious);
 
   const ConfigurationHead& Head() const { return mHead; }
   std::uint64_t Version() const { return mHead.mVersion; }
@@ -32,21 +32,22 @@
   const PartHash& Root() const { return mRoot; }
   const std::string& Text() const { return mText; }
 
-  /** Takes a part in if it is one of those that are missing. */
-  bool Add(std::string aPart);
+  /** Adds a part; false if it is not one of the missing ones. */
+  bool AddPart(std::string aPart);
   bool IsComplete() const { return mMissing.empty() && Version() != 0; }
   const std::map<PartHash, PartRef>& Missing() const { return mMissing; }
-  /** A part that is there, or null. */
-  Part Find(const PartHash& aHash) const;
+  /** Returns a part, or null if it was not received. */
+  Part FindPart(const PartHash& aHash) const;
 
-  /** Checks the whole and makes the configuration. Precondition: complete. */
+  /** Assembles and validates the configuration. Precondition: IsComplete(). */
   Result<ConfigurationPtr> Assemble(ConfigurationAssembler& aAssembler) const;
 
-  /** An offer of this version with the changes from aBase, if they are few. */
+  /** Makes an offer of this version, with the changes from aBase if they are
+   * few. */
   ConfigOffer MakeOffer(const ConfigTransfer& aBase) const;
 
-  /** The head that an offer's changes lead to from this one; none if they
-   * begin elsewhere or do not give the offered root. */
+  /** Applies an offer's changes to this head; none if the offer has another
+   * base or the result does not have the offered hash. */
   std::optional<ConfigurationHead> ApplyOffer(const ConfigOffer& aOffer) const;
 
 private:
--- a/src/config/ConfigurationAssembler.cpp
+++ b/src/config/ConfigurationAssembler.cpp
@@ -16,14 +16,15 @@
     return Fail(ErrorKind::Malformed,
                 "parts of configuration version " +
                   std::to_string(aHead.mVersion) + " are missing",
-                "read it again");
+                "read the version again");
   }
   for (std::size_t i = 0; i < aParts.size(); ++i) {
     if (HashPart(aParts[i]) != aHead.mParts[i].mHash) {
       return Fail(ErrorKind::Malformed,
                   "part " + std::to_string(i) + " of configuration version " +
                     std::to_string(aHead.mVersion) + " is damaged",
-                  "read it again; if it stays so, apply the inventory anew");
+                  "read the version again; if the error persists, apply the "
+                  "inventory again");
     }
   }
   return {};
@@ -56,28 +57,28 @@
   out->mVersion = aHead.mVersion;
   ReadGeneralPart(aParts[0], *out, faults);
   if (out->mDataCentres != mDataCentres) {
-    mRead.clear();
+    mServicesByPart.clear();
     mDataCentres = out->mDataCentres;
   }
-  std::map<PartHash, Services> read;
+  std::map<PartHash, Services> servicesByPart;
   for (std::size_t i = 1; i < aParts.size(); ++i) {
     const PartHash& hash = aHead.mParts[i].mHash;
-    auto known = mRead.find(hash);
+    auto known = mServicesByPart.find(hash);
     Services services =
-      known != mRead.end()
+      known != mServicesByPart.end()
         ? known->second
         : std::make_shared<const std::vector<Service>>(
             ReadServicePart(aParts[i], out->mDataCentres, faults));
     AddServices(*services, *out, faults);
-    read.emplace(hash, std::move(services));
+    servicesByPart.emplace(hash, std::move(services));
   }
-  CheckWhole(*out, faults);
-  CheckUnique(*out, faults);
+  CheckServicesAndDrains(*out, faults);
+  CheckUniqueness(*out, faults);
   if (!faults.IsEmpty()) {
     return Fail(ErrorKind::Malformed, faults.Describe(),
-                "let nothing but heatherplank write below config/");
+                "make sure that only heatherplank writes below config/");
   }
-  mRead = std::move(read);
+  mServicesByPart = std::move(servicesByPart);
   IndexAddresses(*out);
   return out;
 }
--- a/src/config/ConfigurationAssembler.h
+++ b/src/config/ConfigurationAssembler.h
@@ -12,28 +12,29 @@
 
 namespace heatherplank {
 
-/** Puts the parts of a version together and checks the whole. Remembers what
- * it read from the parts of the last version, since a change moves one part in
- * hundreds, and reading all of them anew would take most of the processor time
- * that a node may spend on control. Not thread safe.
+/** Assembles a configuration from the parts of a version and validates it.
+ * Caches the services parsed from the parts of the last version: a change
+ * alters one part in hundreds, and parsing all of them again would take most of
+ * the CPU time that a node may spend on control. Not thread safe.
  */
 class ConfigurationAssembler
 {
 public:
-  /** Malformed with every fault, or if a part's hash differs from that in the
-   * head. aParts are in the head's order. */
+  /** aParts are in the head's order. Malformed, with every fault found, if the
+   * configuration is invalid, or if a part is missing or its hash differs from
+   * the head's. */
   Result<ConfigurationPtr> Assemble(const ConfigurationHead& aHead,
                                     std::span<const std::string_view> aParts);
 
 private:
   using Services = std::shared_ptr<const std::vector<Service>>;
 
-  std::map<PartHash, Services> mRead;
-  /** The services were checked against these. */
+  std::map<PartHash, Services> mServicesByPart;
+  /** The data centres that the cached services were checked against. */
   std::vector<std::string> mDataCentres;
 };
 
-/** The same with nothing remembered. Thread safe. */
+/** As ConfigurationAssembler::Assemble, without a cache. Thread safe. */
 Result<ConfigurationPtr> AssembleConfiguration(
   const ConfigurationHead& aHead, std::span<const std::string_view> aParts);
 
--- a/src/config/ConfigurationCheck.cpp
+++ b/src/config/ConfigurationCheck.cpp
@@ -20,18 +20,19 @@
   return out;
 }
 
-void NoteShared(const std::string& aWhat, const Service& aFirst,
-                const Service& aSecond, JsonFaults& aFaults)
+void AddSharedFault(const std::string& aItem, const Service& aFirst,
+                    const Service& aSecond, JsonFaults& aFaults)
 {
   aFaults.Add("services",
-              aWhat + " stands in \"" + aFirst.mName + "\" and \"" +
+              aItem + " is listed in \"" + aFirst.mName + "\" and \"" +
                 aSecond.mName + "\"",
-              "give it to one service, once");
+              "list it once, in one service");
 }
 
 } // namespace
 
-void CheckWhole(const Configuration& aConfiguration, JsonFaults& aFaults)
+void CheckServicesAndDrains(const Configuration& aConfiguration,
+                            JsonFaults& aFaults)
 {
   if (aConfiguration.mServices.empty()) {
     aFaults.Add("services", "no service", "list at least one service");
@@ -52,13 +53,13 @@
                   "name a host of a service");
     }
     if (!seen.insert(it).second) {
-      aFaults.Add("drained_hosts", "\"" + it + "\" stands twice",
+      aFaults.Add("drained_hosts", "\"" + it + "\" appears twice",
                   "list it once");
     }
   }
 }
 
-void CheckUnique(const Configuration& aConfiguration, JsonFaults& aFaults)
+void CheckUniqueness(const Configuration& aConfiguration, JsonFaults& aFaults)
 {
   std::unordered_map<HostId, const Service*> hosts;
   std::unordered_map<Address, const Service*> addresses;
@@ -68,14 +69,14 @@
     for (const auto& it : service.mHosts) {
       auto [other, isNew] = hosts.emplace(MakeHostId(it.mName), &service);
       if (!isNew) {
-        NoteShared("host " + it.mName, *other->second, service, aFaults);
+        AddSharedFault("host " + it.mName, *other->second, service, aFaults);
       }
     }
     for (const auto& it : service.mAddresses) {
       auto [other, isNew] = addresses.emplace(it, &service);
       if (!isNew) {
-        NoteShared("address " + it.ToString(), *other->second, service,
-                   aFaults);
+        AddSharedFault("address " + it.ToString(), *other->second, service,
+                       aFaults);
       }
     }
   }
--- a/src/config/ConfigurationCheck.h
+++ b/src/config/ConfigurationCheck.h
@@ -5,14 +5,15 @@
 
 namespace heatherplank {
 
-/** Notes faults that show only in the whole: no service at all, and drained
- * hosts that are unknown or stand twice. Thread safe.
+/** Adds the faults that concern several services: no service at all, and
+ * drained hosts that are unknown or listed twice. Thread safe.
  */
-void CheckWhole(const Configuration& aConfiguration, JsonFaults& aFaults);
+void CheckServicesAndDrains(const Configuration& aConfiguration,
+                            JsonFaults& aFaults);
 
-/** Notes addresses and hosts that two services share, and services or hosts
+/** Adds a fault for each address or host that two services share, and for hosts
  * whose names have the same hash. Thread safe.
  */
-void CheckUnique(const Configuration& aConfiguration, JsonFaults& aFaults);
+void CheckUniqueness(const Configuration& aConfiguration, JsonFaults& aFaults);
 
 } // namespace heatherplank
--- a/src/config/ConfigurationEdit.cpp
+++ b/src/config/ConfigurationEdit.cpp
@@ -36,7 +36,7 @@
 {
   if (!HasHost(aFrom, aHost)) {
     return Fail(ErrorKind::InvalidInput,
-                "no service of the inventory has a host \"" + aHost + "\"",
+                "no service in the inventory has a host \"" + aHost + "\"",
                 "look up its name with `get`");
   }
   auto out = std::make_shared<Configuration>(aFrom);
--- a/src/config/ConfigurationEdit.h
+++ b/src/config/ConfigurationEdit.h
@@ -7,13 +7,14 @@
 
 namespace heatherplank {
 
-/** The configuration with another policy in force; InvalidInput if no policy
- * has the name. Thread safe. */
+/** Returns a copy of the configuration with the named policy; InvalidInput if
+ * no policy has the name. Thread safe. */
 Result<ConfigurationPtr> WithPolicy(const Configuration& aFrom,
                                     const std::string& aName);
 
-/** The configuration with a host's drain begun or ended; InvalidInput if the
- * inventory has no such host. Thread safe. */
+/** Returns a copy of the configuration in which the host is drained, or not
+ * drained if aDrain is false; InvalidInput if no service lists the host. Thread
+ * safe. */
 Result<ConfigurationPtr> WithDrain(const Configuration& aFrom,
                                    const std::string& aHost, bool aDrain);
 
--- a/src/config/ConfigurationGarbage.cpp
+++ b/src/config/ConfigurationGarbage.cpp
@@ -9,8 +9,8 @@
 
 namespace {
 
-/** How often the objects of writers that died are looked for, in versions. */
-constexpr std::uint64_t kOrphanPeriod = 32;
+/** Number of versions between scans for the objects of writers that died. */
+constexpr std::uint64_t kOrphanScanInterval = 32;
 
 Result<ConfigurationHead> ReadHistory(SyncObjectStore& aStore,
                                       const std::string& aKey)
@@ -22,41 +22,41 @@
   return ParseHead(object->mValue);
 }
 
-/** Drops the version that falls out of the history, and the parts that its
- * successor no longer had. A part is carried on only from one version to the
- * next, so none of them can be in a later one.
+/** Removes the version that leaves the history, and those of its parts that its
+ * successor does not have. A part is reused only from one version to the next,
+ * so no later version can contain the removed parts.
  */
-void DropOldest(SyncObjectStore& aStore, std::uint64_t aVersion)
+void RemoveOldestVersion(SyncObjectStore& aStore, std::uint64_t aVersion)
 {
   std::string key = config_keys::History(aVersion);
-  auto dropped = ReadHistory(aStore, key);
+  auto removed = ReadHistory(aStore, key);
   auto next = ReadHistory(aStore, config_keys::History(aVersion + 1));
-  if (!dropped || !next) {
+  if (!removed || !next) {
     return;
   }
-  std::set<PartRef> kept(next->mParts.begin(), next->mParts.end());
-  for (const auto& it : dropped->mParts) {
-    if (!kept.contains(it)) {
+  std::set<PartRef> retained(next->mParts.begin(), next->mParts.end());
+  for (const auto& it : removed->mParts) {
+    if (!retained.contains(it)) {
       aStore.Delete(config_keys::Part(it), WriteCondition::Always());
     }
   }
   aStore.Delete(key, WriteCondition::Always());
 }
 
-void Keep(const ConfigurationHead& aHead, std::set<std::string>& aKeys)
+void AddPartKeys(const ConfigurationHead& aHead, std::set<std::string>& aKeys)
 {
   for (const auto& it : aHead.mParts) {
     aKeys.insert(config_keys::Part(it));
   }
 }
 
-/** The keys of all parts that a kept version has; empty if they can't be
- * known. A listing without the version before the accepted one is stale, and
- * parts of versions that it does not show would be taken for garbage while
- * slow readers still need them.
+/** The keys of all parts of the retained versions; empty if they cannot be
+ * determined. A listing without the version before the accepted one is stale:
+ * parts of the versions missing from it would be removed while slow readers
+ * still need them.
  */
-std::set<std::string> KeptParts(SyncObjectStore& aStore,
-                                const ConfigurationHead& aAccepted)
+std::set<std::string> RetainedPartKeys(SyncObjectStore& aStore,
+                                       const ConfigurationHead& aAccepted)
 {
   auto history = aStore.List(config_keys::kHistory);
   std::string last = config_keys::History(aAccepted.mVersion - 1);
@@ -65,31 +65,31 @@
     return {};
   }
   std::set<std::string> out;
-  Keep(aAccepted, out);
+  AddPartKeys(aAccepted, out);
   for (const auto& it : *history) {
     auto head = ReadHistory(aStore, it.mKey);
     if (!head) {
       return {};
     }
-    Keep(*head, out);
+    AddPartKeys(*head, out);
   }
   return out;
 }
 
-/** Drops parts of writers that died. A part that is older than the accepted
- * head and in no kept version can't come into force: its writer's condition
- * names a head that was replaced since.
+/** Removes the parts of writers that died. A part that is older than the
+ * accepted head and in no retained version cannot come into force: its writer's
+ * update of the head is conditional on a head that has been replaced.
  */
-void DropOrphans(SyncObjectStore& aStore, const ConfigurationHead& aAccepted,
-                 std::uint64_t aObjectVersion)
+void RemoveOrphans(SyncObjectStore& aStore, const ConfigurationHead& aAccepted,
+                   std::uint64_t aObjectVersion)
 {
   auto parts = aStore.List(config_keys::kParts);
-  auto kept = KeptParts(aStore, aAccepted);
-  if (!parts || kept.empty()) {
+  auto retained = RetainedPartKeys(aStore, aAccepted);
+  if (!parts || retained.empty()) {
     return;
   }
   for (const auto& it : *parts) {
-    if (it.mVersion < aObjectVersion && !kept.contains(it.mKey)) {
+    if (it.mVersion < aObjectVersion && !retained.contains(it.mKey)) {
       aStore.Delete(it.mKey, WriteCondition::IfVersion(it.mVersion));
     }
   }
@@ -97,7 +97,7 @@
 
 } // namespace
 
-void RemoveOwnParts(SyncObjectStore& aStore, const ConfigurationHead& aHead)
+void RemoveWrittenParts(SyncObjectStore& aStore, const ConfigurationHead& aHead)
 {
   for (const auto& it : aHead.mParts) {
     if (it.mWriter == aHead.mNonce) {
@@ -106,14 +106,14 @@
   }
 }
 
-void CollectAfter(SyncObjectStore& aStore, const ConfigurationHead& aAccepted,
-                  std::uint64_t aObjectVersion, std::uint64_t aHistory)
+void CollectGarbage(SyncObjectStore& aStore, const ConfigurationHead& aAccepted,
+                    std::uint64_t aObjectVersion, std::uint64_t aHistory)
 {
   if (aAccepted.mVersion > aHistory + 1) {
-    DropOldest(aStore, aAccepted.mVersion - aHistory - 1);
+    RemoveOldestVersion(aStore, aAccepted.mVersion - aHistory - 1);
   }
-  if (aAccepted.mVersion % kOrphanPeriod == 0) {
-    DropOrphans(aStore, aAccepted, aObjectVersion);
+  if (aAccepted.mVersion % kOrphanScanInterval == 0) {
+    RemoveOrphans(aStore, aAccepted, aObjectVersion);
   }
 }
 
--- a/src/config/ConfigurationGarbage.h
+++ b/src/config/ConfigurationGarbage.h
@@ -7,17 +7,19 @@
 
 namespace heatherplank::config_garbage {
 
-/** Removes the parts that a write stored itself, after it lost its race. Since
- * no other write uses its keys, nobody else's part is touched. Thread safe.
+/** Removes the parts that a write stored, after another write replaced the head
+ * first. The keys contain the write's nonce, so no part of another write is
+ * removed. Thread safe.
  */
-void RemoveOwnParts(SyncObjectStore& aStore, const ConfigurationHead& aHead);
+void RemoveWrittenParts(SyncObjectStore& aStore,
+                        const ConfigurationHead& aHead);
 
-/** Run after a version was accepted: drops what falls out of the last aHistory
- * versions, and now and then what writers that died have left. A failure is
- * made good by a later call. aObjectVersion is the accepted head's. Thread
- * safe.
+/** To be called after a version was accepted: removes the version older than
+ * the last aHistory versions and, at intervals, the parts left by writers that
+ * died. A later call removes the objects that a failed call left.
+ * aObjectVersion is the object version of the accepted head. Thread safe.
  */
-void CollectAfter(SyncObjectStore& aStore, const ConfigurationHead& aAccepted,
-                  std::uint64_t aObjectVersion, std::uint64_t aHistory);
+void CollectGarbage(SyncObjectStore& aStore, const ConfigurationHead& aAccepted,
+                    std::uint64_t aObjectVersion, std::uint64_t aHistory);
 
 } // namespace heatherplank::config_garbage
--- a/src/config/ConfigurationMerge.cpp
+++ b/src/config/ConfigurationMerge.cpp
@@ -13,32 +13,32 @@
 
 namespace {
 
-/** "+ host a of service b". */
-std::string Line(const char* aSign, const std::string& aKind,
-                 const std::string& aName, const std::string& aOf)
+/** Makes a line of a difference, such as "+ host a of service b". */
+std::string DiffLine(const char* aSign, const std::string& aKind,
+                     const std::string& aName, const std::string& aSuffix)
 {
   std::string out = aSign;
-  out.append(aKind).append(" ").append(aName).append(aOf);
+  out.append(aKind).append(" ").append(aName).append(aSuffix);
   return out;
 }
 
-/** Lines for items that have a name: added, removed or changed. */
+/** Adds a line for each named item that was added, removed or changed. */
 template<typename T>
 void DescribeItems(const std::vector<T>& aFrom, const std::vector<T>& aTo,
-                   const std::string& aKind, const std::string& aOf,
+                   const std::string& aKind, const std::string& aSuffix,
                    std::vector<std::string>& aOut)
 {
   for (const auto& it : aFrom) {
     auto other = std::ranges::find(aTo, it.mName, &T::mName);
     if (other == aTo.end()) {
-      aOut.push_back(Line("- ", aKind, it.mName, aOf));
+      aOut.push_back(DiffLine("- ", aKind, it.mName, aSuffix));
     } else if (!(*other == it)) {
-      aOut.push_back(Line("~ ", aKind, it.mName, aOf));
+      aOut.push_back(DiffLine("~ ", aKind, it.mName, aSuffix));
     }
   }
   for (const auto& it : aTo) {
     if (std::ranges::find(aFrom, it.mName, &T::mName) == aFrom.end()) {
-      aOut.push_back(Line("+ ", aKind, it.mName, aOf));
+      aOut.push_back(DiffLine("+ ", aKind, it.mName, aSuffix));
     }
   }
 }
@@ -51,25 +51,25 @@
   return out;
 }
 
-/** Lines for plain values, of which each is there or not. */
+/** Adds a line for each value that was added or removed. */
 template<typename T, typename ToText>
 void DescribeValues(const std::vector<T>& aFrom, const std::vector<T>& aTo,
-                    const std::string& aKind, const std::string& aOf,
+                    const std::string& aKind, const std::string& aSuffix,
                     ToText aToText, std::vector<std::string>& aOut)
 {
   for (const auto& it : aFrom) {
     if (std::ranges::find(aTo, it) == aTo.end()) {
-      aOut.push_back(Line("- ", aKind, aToText(it), aOf));
+      aOut.push_back(DiffLine("- ", aKind, aToText(it), aSuffix));
     }
   }
   for (const auto& it : aTo) {
     if (std::ranges::find(aFrom, it) == aFrom.end()) {
-      aOut.push_back(Line("+ ", aKind, aToText(it), aOf));
+      aOut.push_back(DiffLine("+ ", aKind, aToText(it), aSuffix));
     }
   }
 }
 
-const std::string& AsText(const std::string& aText)
+const std::string& Identity(const std::string& aText)
 {
   return aText;
 }
@@ -77,23 +77,23 @@
 void DescribeService(const Service& aFrom, const Service& aTo,
                      std::vector<std::string>& aOut)
 {
-  std::string of = " of service " + aTo.mName;
+  std::string suffix = " of service " + aTo.mName;
   std::size_t before = aOut.size();
-  DescribeItems(aFrom.mHosts, aTo.mHosts, "host", of, aOut);
-  DescribeItems(aFrom.mRules, aTo.mRules, "rule", of, aOut);
+  DescribeItems(aFrom.mHosts, aTo.mHosts, "host", suffix, aOut);
+  DescribeItems(aFrom.mRules, aTo.mRules, "rule", suffix, aOut);
   DescribeValues(
-    aFrom.mAddresses, aTo.mAddresses, "address", of,
+    aFrom.mAddresses, aTo.mAddresses, "address", suffix,
     [](const Address& aAddress) { return aAddress.ToString(); }, aOut);
   if (aFrom.mSlotsPerHost != aTo.mSlotsPerHost) {
-    aOut.push_back("~ slots_per_host" + of + ": " +
+    aOut.push_back("~ slots_per_host" + suffix + ": " +
                    std::to_string(aFrom.mSlotsPerHost) + " -> " +
                    std::to_string(aTo.mSlotsPerHost));
   }
   if (NamesOf(aFrom.mRules) != NamesOf(aTo.mRules) && before == aOut.size()) {
-    aOut.push_back("~ order of the rules" + of);
+    aOut.push_back("~ order of the rules" + suffix);
   }
   if (before == aOut.size()) {
-    aOut.push_back("~ order of entries" + of);
+    aOut.push_back("~ order of entries" + suffix);
   }
 }
 
@@ -107,11 +107,12 @@
   }
 }
 
-/** The merged value of one unit, noting a conflict. Absent units compare as
- * null pointers. */
+/** Three-way merge of one unit; a conflict is added to aConflicts. An absent
+ * unit is a null pointer. */
 template<typename T>
-const T* Choose(const T* aBase, const T* aMine, const T* aTheirs,
-                const std::string& aUnit, std::vector<std::string>& aConflicts)
+const T* MergeUnit(const T* aBase, const T* aMine, const T* aTheirs,
+                   const std::string& aUnit,
+                   std::vector<std::string>& aConflicts)
 {
   auto same = [](const T* aLeft, const T* aRight) {
     return aLeft == aRight ||
@@ -143,15 +144,15 @@
     const Service* named = mine != nullptr ? mine : theirs;
     named = named != nullptr ? named : base;
     const auto* chosen =
-      Choose(base, mine, theirs, "service " + named->mName, aConflicts);
+      MergeUnit(base, mine, theirs, "service " + named->mName, aConflicts);
     if (chosen != nullptr) {
       aOut.mServices.emplace(id, *chosen);
     }
   }
 }
 
-/** Each host's place in the list is a unit of its own, and two sides can't
- * disagree over one: both drained it, or both did not. */
+/** Merges the drained hosts, each as a separate unit. A conflict cannot occur:
+ * if both sides changed a host's drain, they made the same change. */
 std::vector<std::string> MergeDrained(const Configuration& aBase,
                                       const Configuration& aMine,
                                       const Configuration& aTheirs)
@@ -181,7 +182,7 @@
 {
   std::vector<std::string> out;
   DescribeValues(aFrom.mDataCentres, aTo.mDataCentres, "data centre", "",
-                 AsText, out);
+                 Identity, out);
   DescribePolicy(aFrom.mPolicy, aTo.mPolicy, out);
   for (const auto& [id, service] : aFrom.mServices) {
     const Service* other = aTo.Find(id);
@@ -198,11 +199,11 @@
     }
   }
   DescribeValues(aFrom.mDrainedHosts, aTo.mDrainedHosts, "drained host", "",
-                 AsText, out);
+                 Identity, out);
   return out;
 }
 
-bool HoldSame(const Configuration& aLeft, const Configuration& aRight)
+bool HasSameContent(const Configuration& aLeft, const Configuration& aRight)
 {
   return aLeft.mDataCentres == aRight.mDataCentres &&
          aLeft.mPolicy == aRight.mPolicy &&
@@ -216,11 +217,11 @@
 {
   Configuration out;
   std::vector<std::string> conflicts;
-  out.mPolicy = *Choose(&aBase.mPolicy, &aMine.mPolicy, &aTheirs.mPolicy,
-                        "the policy", conflicts);
+  out.mPolicy = *MergeUnit(&aBase.mPolicy, &aMine.mPolicy, &aTheirs.mPolicy,
+                           "the policy", conflicts);
   out.mDataCentres =
-    *Choose(&aBase.mDataCentres, &aMine.mDataCentres, &aTheirs.mDataCentres,
-            "the data centres", conflicts);
+    *MergeUnit(&aBase.mDataCentres, &aMine.mDataCentres, &aTheirs.mDataCentres,
+               "the data centres", conflicts);
   MergeServices(aBase, aMine, aTheirs, out, conflicts);
   out.mDrainedHosts = MergeDrained(aBase, aMine, aTheirs);
   if (!conflicts.empty()) {
--- a/src/config/ConfigurationMerge.h
+++ b/src/config/ConfigurationMerge.h
@@ -8,20 +8,23 @@
 
 namespace heatherplank {
 
-/** What differs between two configurations, one line each, as "+ service a",
- * "- host b of service a", "~ rule c of service a". Thread safe.
+/** Describes each difference between two configurations in one line, such as
+ * "+ service a", "- host b of service a" or "~ rule c of service a". Thread
+ * safe.
  */
 std::vector<std::string> DescribeDifference(const Configuration& aFrom,
                                             const Configuration& aTo);
 
-/** True if both hold the same, whatever their versions. Thread safe. */
-bool HoldSame(const Configuration& aLeft, const Configuration& aRight);
+/** True if both have the same content, regardless of their versions. Thread
+ * safe.
+ */
+bool HasSameContent(const Configuration& aLeft, const Configuration& aRight);
 
-/** Redoes on top of aTheirs what changed from aBase to aMine. Units that merge
- * on their own: each service, the policy, the list of data centres, each
- * drained host. Conflict, with the units named, if both sides changed one of
- * them differently; InvalidInput if the result does not pass the check (two
- * services that were given the same address, say). Thread safe.
+/** Three-way merge: applies the changes from aBase to aMine on top of aTheirs.
+ * Each service, the policy, the list of data centres and each drained host are
+ * merged as separate units. Conflict, naming the units, if both sides changed a
+ * unit differently; InvalidInput if the result is invalid, for example because
+ * two services were given the same address. Thread safe.
  */
 Result<ConfigurationPtr> MergeConfigurations(const Configuration& aBase,
                                              const Configuration& aMine,
--- a/src/config/ConfigurationParser.cpp
+++ b/src/config/ConfigurationParser.cpp
@@ -24,12 +24,14 @@
 constexpr std::int64_t kMaxDeadlineMs = 600000;
 constexpr std::int64_t kMaxQueue = 1000000;
 constexpr double kMaxScoreWeight = 1000;
-/** A service's canonical JSON must fit one part object with room to spare. */
+/** Keeps the canonical JSON of a service well below the size of a part object.
+ */
 constexpr std::size_t kMaxHostsPerService = 4000;
 constexpr std::size_t kMaxNameBytes = 63;
 constexpr std::int64_t kMaxVersion = std::numeric_limits<std::int64_t>::max();
 
-/** Names stand in URLs, metrics labels and keys, so only plain characters. */
+/** Names are used in URLs, metric labels and keys, which limits their
+ * characters. */
 bool IsPlainName(std::string_view aName)
 {
   return aName.size() <= kMaxNameBytes &&
@@ -40,11 +42,12 @@
          });
 }
 
-/** Reads one document; keeps what must be unique over all of it. */
-class Reading
+/** Reads one document and checks that names, hosts and addresses are unique in
+ * it. */
+class ConfigurationReader
 {
 public:
-  explicit Reading(Configuration& aOut)
+  explicit ConfigurationReader(Configuration& aOut)
     : mOut(&aOut)
   {
   }
@@ -85,7 +88,7 @@
                          "use at most 63 of a-z, 0-9, '-', '_' and '.'");
       }
       if (!ids.insert(MakeDataCentreId(it)).second) {
-        aReader.AddFault("data_centres", "\"" + it + "\" stands twice",
+        aReader.AddFault("data_centres", "\"" + it + "\" appears twice",
                          "list each data centre once");
       }
     }
@@ -118,18 +121,19 @@
     aReader.Objects("rules", [&](JsonReader& aIt) { ReadRule(aIt, service); });
     auto [it, isNew] = mOut->mServices.try_emplace(service.mId, service);
     if (!isNew) {
-      ReportTaken(aReader, it->second.mName, service.mName);
+      AddDuplicateFault(aReader, it->second.mName, service.mName);
     }
   }
 
-  /** The same name twice, or two names with one hash: either would merge two
-   * services into one, and packets of one would reach the other. */
-  static void ReportTaken(JsonReader& aReader, const std::string& aFirst,
-                          const std::string& aSecond)
+  /** Adds a fault for a repeated name or for two names with the same hash.
+   * Either would merge two services, and packets of one would reach the other.
+   */
+  static void AddDuplicateFault(JsonReader& aReader, const std::string& aFirst,
+                                const std::string& aSecond)
   {
     if (aFirst == aSecond) {
-      aReader.AddFault("name", "\"" + aSecond + "\" stands twice",
-                       "give each its own name");
+      aReader.AddFault("name", "\"" + aSecond + "\" appears twice",
+                       "use a different name for each");
       return;
     }
     aReader.AddFault(
@@ -159,22 +163,23 @@
       return;
     }
     if (!IsReachable(*address)) {
-      aReader.AddFault(aKey, "found \"" + aText + "\", which no caller reaches",
+      aReader.AddFault(aKey,
+                       "found \"" + aText + "\", which callers cannot reach",
                        "give a unicast IP address and a port from 1");
       return;
     }
-    auto [it, isNew] = mAddressOf.try_emplace(*address, aService.mName);
+    auto [it, isNew] = mServiceByAddress.try_emplace(*address, aService.mName);
     if (!isNew) {
       aReader.AddFault(aKey,
                        aText + " belongs to service \"" + it->second + "\"",
-                       "give each address to one service, once");
+                       "list each address once, in one service");
       return;
     }
     aService.mAddresses.push_back(*address);
   }
 
-  /** Neither "any", multicast, link-local IPv6 (no scope can be given) nor
-   * port 0. */
+  /** False for unspecified, multicast and link-local IPv6 addresses (an address
+   * has no scope here), and for port 0. */
   static bool IsReachable(const Address& aAddress)
   {
     auto ip = ToEndpoint<boost::asio::ip::udp>(aAddress).address();
@@ -195,11 +200,12 @@
           mOut->mDataCentres.end()) {
       aReader.AddFault("data_centre",
                        "\"" + host.mDataCentre + "\" is not in data_centres",
-                       "name a data centre of the list, or add it there");
+                       "use a listed data centre, or add this one to the list");
     }
-    auto [it, isNew] = mHosts.try_emplace(MakeHostId(host.mName), host.mName);
+    auto [it, isNew] =
+      mHostNames.try_emplace(MakeHostId(host.mName), host.mName);
     if (!isNew) {
-      ReportTaken(aReader, it->second, host.mName);
+      AddDuplicateFault(aReader, it->second, host.mName);
     }
     aService.mHosts.push_back(std::move(host));
   }
@@ -249,8 +255,8 @@
     }
     if (std::ranges::find(aService.mRules, aRule.mName, &Rule::mName) !=
         aService.mRules.end()) {
-      aReader.AddFault("name", "rule \"" + aRule.mName + "\" stands twice",
-                       "give each rule of a service its own name");
+      aReader.AddFault("name", "rule \"" + aRule.mName + "\" appears twice",
+                       "use a different name for each rule of a service");
     }
     for (const auto& it : aService.mRules) {
       bool covers = (it.mMethod.empty() || it.mMethod == aRule.mMethod) &&
@@ -259,7 +265,7 @@
         aReader.AddFault("name",
                          "rule \"" + aRule.mName +
                            "\" is never reached, since \"" + it.mName +
-                           "\" before it meets all that it meets",
+                           "\" before it matches every request that it matches",
                          "put the narrower rule first");
         return;
       }
@@ -267,8 +273,8 @@
   }
 
   Configuration* mOut;
-  std::map<Address, std::string> mAddressOf;
-  std::map<HostId, std::string> mHosts;
+  std::map<Address, std::string> mServiceByAddress;
+  std::map<HostId, std::string> mHostNames;
 };
 
 } // namespace
@@ -278,15 +284,15 @@
 {
   auto out = std::make_shared<Configuration>();
   out->mVersion = aVersion;
-  Reading reading(*out);
+  ConfigurationReader reader(*out);
   ReadJsonDocument(aText, aFaults, [&](JsonReader& aReader) {
     std::int64_t version = aReader.Integer("version", 0, kMaxVersion, 0);
     if (aVersion == 0) {
       out->mVersion = static_cast<std::uint64_t>(version);
     }
-    reading.ReadGeneral(aReader);
-    reading.ReadServices(aReader);
-    CheckWhole(*out, aFaults);
+    reader.ReadGeneral(aReader);
+    reader.ReadServices(aReader);
+    CheckServicesAndDrains(*out, aFaults);
   });
   if (!aFaults.IsEmpty()) {
     return nullptr;
@@ -298,9 +304,9 @@
 void ReadGeneralPart(std::string_view aText, Configuration& aOut,
                      JsonFaults& aFaults)
 {
-  Reading reading(aOut);
+  ConfigurationReader reader(aOut);
   ReadJsonDocument(aText, aFaults,
-                   [&](JsonReader& aReader) { reading.ReadGeneral(aReader); });
+                   [&](JsonReader& aReader) { reader.ReadGeneral(aReader); });
 }
 
 std::vector<Service> ReadServicePart(
@@ -309,9 +315,9 @@
 {
   Configuration part;
   part.mDataCentres = aDataCentres;
-  Reading reading(part);
+  ConfigurationReader reader(part);
   ReadJsonDocument(aText, aFaults,
-                   [&](JsonReader& aReader) { reading.ReadServices(aReader); });
+                   [&](JsonReader& aReader) { reader.ReadServices(aReader); });
   std::vector<Service> out;
   out.reserve(part.mServices.size());
   for (auto& it : part.mServices) {
--- a/src/config/ConfigurationParts.cpp
+++ b/src/config/ConfigurationParts.cpp
@@ -13,16 +13,17 @@
 
 namespace {
 
-/** A change of one service sends its whole part to every balancer, and the
- * list of all parts to those that missed a version. With 16 services (about 16
- * KB) a part, 6,000 services make 512 parts and a list of 8 KB, so both weigh
- * about the same. */
+/** A change of one service sends its whole part to every balancer, and the list
+ * of all parts to balancers that missed a version. With 16 services (about 16
+ * KB) per part, 6,000 services make 512 parts and a list of 8 KB, so that the
+ * two are of similar size. */
 constexpr std::size_t kServicesPerPart = 16;
 constexpr std::size_t kMaxParts = 4096;
-/** How far off the best number of parts may be before all are made anew. */
-constexpr std::size_t kTolerance = 4;
+/** All parts are made again if their number is off the best one by more than
+ * this factor. */
+constexpr std::size_t kMaxPartCountRatio = 4;
 
-std::string JoinServices(const std::vector<const Service*>& aServices)
+std::string SerializeServices(const std::vector<const Service*>& aServices)
 {
   return boost::json::serialize(ServicesToJson(aServices));
 }
@@ -37,34 +38,36 @@
   std::vector<std::string> out;
   out.reserve(aPartCount + 1);
   for (const auto& it : buckets) {
-    out.push_back(JoinServices(it));
+    out.push_back(SerializeServices(it));
   }
   return out;
 }
 
-bool Fits(const std::string& aPart)
+bool FitsInObject(const std::string& aPart)
 {
   return aPart.size() <= ObjectStore::kMaxObjectSize;
 }
 
 } // namespace
 
-std::size_t ChoosePartCount(std::size_t aServices, std::size_t aBefore)
+std::size_t ChoosePartCount(std::size_t aServices, std::size_t aPrevious)
 {
   std::size_t best = std::clamp<std::size_t>(
     std::bit_ceil(aServices / kServicesPerPart), 1, kMaxParts);
-  bool near = aBefore != 0 && best <= aBefore * kTolerance &&
-              aBefore <= best * kTolerance;
-  return near ? aBefore : best;
+  bool isCloseEnough = aPrevious != 0 &&
+                       best <= aPrevious * kMaxPartCountRatio &&
+                       aPrevious <= best * kMaxPartCountRatio;
+  return isCloseEnough ? aPrevious : best;
 }
 
 Result<std::vector<std::string>> SplitConfiguration(
   const Configuration& aConfiguration, std::size_t aPartCount)
 {
   std::string general = boost::json::serialize(GeneralToJson(aConfiguration));
-  for (std::size_t n = aPartCount; n <= kMaxParts && Fits(general); n *= 2) {
+  for (std::size_t n = aPartCount; n <= kMaxParts && FitsInObject(general);
+       n *= 2) {
     auto out = SplitServices(aConfiguration, n);
-    if (std::ranges::all_of(out, Fits)) {
+    if (std::ranges::all_of(out, FitsInObject)) {
       out.insert(out.begin(), std::move(general));
       return out;
     }
--- a/src/config/ConfigurationParts.h
+++ b/src/config/ConfigurationParts.h
@@ -8,17 +8,17 @@
 
 namespace heatherplank {
 
-/** The number of service parts for a configuration of this many services, if
- * the version before had aBefore of them (0: none). It changes only when the
- * parts would become four times too large or too small, since then all of them
- * are written and sent anew. Thread safe.
+/** Returns the number of service parts for aServices services, if the previous
+ * version had aPrevious service parts (0: no previous version). The number
+ * changes only when it is off the best one by more than a factor of four, since
+ * a change means that all parts are written and sent again. Thread safe.
  */
-std::size_t ChoosePartCount(std::size_t aServices, std::size_t aBefore);
+std::size_t ChoosePartCount(std::size_t aServices, std::size_t aPrevious);
 
 /** Splits a configuration into parts of at most ObjectStore::kMaxObjectSize
- * bytes: the general one, then the services by id. More service parts than
- * aPartCount are made if one would be too large; TooLarge if even that does
- * not help. Thread safe.
+ * bytes: the general part, then the services by id. Makes more service parts
+ * than aPartCount if one would be too large; TooLarge if a part still exceeds
+ * the limit. Thread safe.
  */
 Result<std::vector<std::string>> SplitConfiguration(
   const Configuration& aConfiguration, std::size_t aPartCount);
--- a/src/config/ConfigurationStore.cpp
+++ b/src/config/ConfigurationStore.cpp
@@ -27,13 +27,13 @@
   return (std::uint64_t{ device() } << 32U) ^ device();
 }
 
-tl::unexpected<Error> LostRace(const ConfigurationHead& aNewest,
-                               const Error& aWhy)
+tl::unexpected<Error> ConflictError(const ConfigurationHead& aNewest,
+                                    const Error& aCause)
 {
   return Fail(ErrorKind::Conflict,
               "not applied: " + DescribeHead(aNewest) + ", is in force now; " +
-                aWhy.mMessage,
-              aWhy.mRemedy);
+                aCause.mMessage,
+              aCause.mRemedy);
 }
 
 } // namespace
@@ -60,16 +60,16 @@
       return tl::unexpected(object.error());
     }
     std::uint64_t version = absent ? 0 : object->mVersion;
-    // A replica of the platform that lags serves an older head than one read
-    // before. Built upon, it would show the operator an old inventory, and
-    // tell a writer that its accepted change is not there. The versions of
-    // objects only grow, so a smaller one is stale.
-    bool stale = version < mSeen && mOptions.mRefuseStaleReads;
+    // A lagging replica of the platform returns an older head than a previous
+    // read. The operator would see an old inventory, and a writer would
+    // conclude that its accepted change was not applied. Object versions only
+    // increase, so a lower one is stale.
+    bool stale = version < mHighestSeenVersion && mOptions.mRefuseStaleReads;
     if (!stale && absent) {
       return std::optional<StoredConfiguration>();
     }
     if (!stale) {
-      mSeen = std::max(mSeen, version);
+      mHighestSeenVersion = std::max(mHighestSeenVersion, version);
       auto head = ParseHead(object->mValue);
       if (!head) {
         return tl::unexpected(head.error());
@@ -79,7 +79,8 @@
     }
     if (attempt >= limits.mAttempts) {
       return Fail(ErrorKind::Unavailable,
-                  "the platform serves an older configuration than before",
+                  "the platform returned an older configuration than on a "
+                  "previous read",
                   "try again when its replicas have caught up");
     }
     mStore->Pause(backoff.Next());
@@ -168,7 +169,7 @@
   std::uint64_t current = aCurrent.mHead.mVersion;
   if (aChange.mIfVersion && *aChange.mIfVersion != current) {
     return Fail(ErrorKind::Conflict,
-                "the change was asked for version " +
+                "the change applies to version " +
                   std::to_string(*aChange.mIfVersion) + " only",
                 "look at the newer version with `get`, then apply with "
                 "--if-version " +
@@ -187,7 +188,7 @@
 {
   const auto& limits = mStore->GetOptions();
   Backoff backoff(limits.mFirstPause, limits.mLongestPause, mRandom());
-  for (unsigned attempt = 0; attempt < mOptions.mAttempts; ++attempt) {
+  for (unsigned attempt = 0; attempt < mOptions.mMaxAttempts; ++attempt) {
     auto current = Read();
     if (!current) {
       return tl::unexpected(current.error());
@@ -201,7 +202,8 @@
     mStore->Pause(backoff.Next());
   }
   return Fail(ErrorKind::Conflict,
-              "not applied: others changed the configuration each time",
+              "not applied: concurrent changes replaced the configuration on "
+              "every attempt",
               "apply again");
 }
 
@@ -213,12 +215,13 @@
   if (!wanted) {
     return aCurrent.mHead.mVersion == 0
              ? tl::unexpected(wanted.error())
-             : LostRace(aCurrent.mHead, wanted.error());
+             : ConflictError(aCurrent.mHead, wanted.error());
   }
   std::uint64_t base = aChange.mBase ? aChange.mBase->mVersion : 0;
   AcceptedChange out;
   out.mRebased = aCurrent.mHead.mVersion != base;
-  if (aCurrent.mConfiguration && HoldSame(*aCurrent.mConfiguration, **wanted)) {
+  if (aCurrent.mConfiguration &&
+      HasSameContent(*aCurrent.mConfiguration, **wanted)) {
     out.mStored = aCurrent;
     out.mUnchanged = true;
     aOutcome = Outcome::Accepted;
@@ -246,14 +249,14 @@
   }
   aOutcome = *accepted;
   if (aOutcome == Outcome::LostRace) {
-    config_garbage::RemoveOwnParts(*mStore, head);
+    config_garbage::RemoveWrittenParts(*mStore, head);
     return out;
   }
   auto whole = std::make_shared<Configuration>(**wanted);
   whole->mVersion = head.mVersion;
   out.mStored.mConfiguration = std::move(whole);
-  config_garbage::CollectAfter(*mStore, head, out.mStored.mObjectVersion,
-                               mOptions.mHistory);
+  config_garbage::CollectGarbage(*mStore, head, out.mStored.mObjectVersion,
+                                 mOptions.mHistoryLength);
   return out;
 }
 
@@ -264,12 +267,14 @@
   const auto& before = aCurrent.mHead.mParts;
   for (std::size_t i = 0; i < aParts.size(); ++i) {
     PartHash hash = HashPart(aParts[i]);
-    bool kept = before.size() == aParts.size() && before[i].mHash == hash;
-    aHead.mParts.push_back(kept ? before[i] : PartRef{ hash, aHead.mNonce });
-    if (kept) {
+    bool isReused = before.size() == aParts.size() && before[i].mHash == hash;
+    aHead.mParts.push_back(isReused ? before[i]
+                                    : PartRef{ hash, aHead.mNonce });
+    if (isReused) {
       continue;
     }
-    auto written = WriteOnce(config_keys::Part(aHead.mParts.back()), aParts[i]);
+    auto written =
+      WriteIfAbsent(config_keys::Part(aHead.mParts.back()), aParts[i]);
     if (!written) {
       return written;
     }
@@ -277,14 +282,14 @@
   if (aCurrent.mHead.mVersion == 0) {
     return {};
   }
-  return WriteOnce(config_keys::History(aCurrent.mHead.mVersion),
-                   SerializeHead(aCurrent.mHead));
+  return WriteIfAbsent(config_keys::History(aCurrent.mHead.mVersion),
+                       SerializeHead(aCurrent.mHead));
 }
 
-/** Writes an object whose key settles its value, so that finding it there
- * already, from a try whose answer was lost, is a success. */
-Result<void> ConfigurationStore::WriteOnce(const std::string& aKey,
-                                           const std::string& aValue)
+/** Writes an object whose key determines its value. A conflict therefore means
+ * that an earlier attempt, whose answer was lost, wrote it. */
+Result<void> ConfigurationStore::WriteIfAbsent(const std::string& aKey,
+                                               const std::string& aValue)
 {
   const auto& limits = mStore->GetOptions();
   Backoff backoff(limits.mFirstPause, limits.mLongestPause, mRandom());
@@ -314,56 +319,58 @@
                      ? WriteCondition::IfAbsent()
                      : WriteCondition::IfVersion(aCurrent.mObjectVersion);
   std::string text = SerializeHead(aNew.mHead);
-  bool mayBeThere = false;
+  bool mayBeWritten = false;
   for (unsigned attempt = 0; attempt < limits.mAttempts; ++attempt) {
     auto written = mStore->Put(config_keys::kHead, text, condition);
     if (written) {
       aNew.mObjectVersion = *written;
-      mSeen = std::max(mSeen, *written);
+      mHighestSeenVersion = std::max(mHighestSeenVersion, *written);
       return Outcome::Accepted;
     }
     ErrorKind kind = written.error().mKind;
-    mayBeThere = mayBeThere || kind == ErrorKind::Timeout;
+    mayBeWritten = mayBeWritten || kind == ErrorKind::Timeout;
     if (!mOptions.mSettleLostAnswers ||
-        (kind == ErrorKind::Conflict && !mayBeThere)) {
+        (kind == ErrorKind::Conflict && !mayBeWritten)) {
       return Outcome::LostRace;
     }
-    if (!mayBeThere) {
+    if (!mayBeWritten) {
       return tl::unexpected(written.error());
     }
-    auto settled = Settle(aCurrent, aNew);
-    if (settled && *settled) {
-      return **settled;
+    auto outcome = DetermineOutcome(aCurrent, aNew);
+    if (outcome && *outcome) {
+      return **outcome;
     }
     mStore->Pause(backoff.Next());
   }
-  return Fail(ErrorKind::Timeout,
-              "version " + std::to_string(aNew.mHead.mVersion) +
-                " may have been accepted, the platform does not tell",
-              "compare with `get` when it answers, before applying again");
+  return Fail(
+    ErrorKind::Timeout,
+    "version " + std::to_string(aNew.mHead.mVersion) +
+      " may have been accepted; the platform did not confirm it",
+    "when the platform answers, compare with `get` before applying again");
 }
 
-/** Finds out after a lost answer whether our head was written. Without it a
- * change that took effect is reported as a lost race, or applied a second time
- * on top of itself. The nonce is in no other head. None while the head is
- * still the one that we wanted to replace: our write may yet arrive, and
- * sending it again under the same condition can take effect only once.
+/** Determines after a lost answer whether the new head was written, by its
+ * nonce, which no other head has. Without this check a change that took effect
+ * would be reported as a lost race, or applied a second time on top of itself.
+ * None while the head is still the one to be replaced: the write may yet
+ * arrive, and a retry under the same condition can take effect only once.
  */
-Result<std::optional<ConfigurationStore::Outcome>> ConfigurationStore::Settle(
-  const StoredConfiguration& aCurrent, StoredConfiguration& aNew)
+Result<std::optional<ConfigurationStore::Outcome>>
+ConfigurationStore::DetermineOutcome(const StoredConfiguration& aCurrent,
+                                     StoredConfiguration& aNew)
 {
-  auto now = ReadHead();
-  if (!now) {
-    return tl::unexpected(now.error());
+  auto head = ReadHead();
+  if (!head) {
+    return tl::unexpected(head.error());
   }
-  if (!*now || (*now)->mObjectVersion == aCurrent.mObjectVersion) {
+  if (!*head || (*head)->mObjectVersion == aCurrent.mObjectVersion) {
     return std::optional<Outcome>();
   }
-  if ((*now)->mHead.mNonce == aNew.mHead.mNonce) {
-    aNew.mObjectVersion = (*now)->mObjectVersion;
+  if ((*head)->mHead.mNonce == aNew.mHead.mNonce) {
+    aNew.mObjectVersion = (*head)->mObjectVersion;
     return std::optional(Outcome::Accepted);
   }
-  if ((*now)->mHead.mVersion == aNew.mHead.mVersion) {
+  if ((*head)->mHead.mVersion == aNew.mHead.mVersion) {
     return std::optional(Outcome::LostRace);
   }
   auto accepted = WasAccepted(aNew.mHead);
@@ -373,8 +380,8 @@
   return std::optional(*accepted ? Outcome::Accepted : Outcome::LostRace);
 }
 
-/** Whether a head that is no longer the newest was accepted: whoever replaced
- * it kept it as history first. */
+/** Whether a head that is no longer the newest was accepted: the write that
+ * replaced it stored it in the history first. */
 Result<bool> ConfigurationStore::WasAccepted(const ConfigurationHead& aHead)
 {
   auto object = mStore->Get(config_keys::History(aHead.mVersion));
--- a/src/config/ConfigurationStore.h
+++ b/src/config/ConfigurationStore.h
@@ -13,7 +13,7 @@
 
 namespace heatherplank {
 
-/** A configuration as the platform holds it. */
+/** A configuration as stored on the platform. */
 struct StoredConfiguration
 {
   ConfigurationHead mHead;
@@ -22,33 +22,33 @@
   ConfigurationPtr mConfiguration;
 };
 
-/** What an operator wants accepted. */
+/** A change to the configuration that an operator submits. */
 struct ConfigurationChange
 {
-  /** What the operator's edit began from; null: nothing. */
+  /** The configuration that was edited; null if there was none. */
   ConfigurationPtr mBase;
   ConfigurationPtr mWanted;
   std::string mAuthor;
-  /** Accept only on top of exactly this version. */
+  /** If given, the change is accepted only on top of this version. */
   std::optional<std::uint64_t> mIfVersion;
 };
 
-/** How an accepted change came about. */
+/** The result of a change that was accepted. */
 struct AcceptedChange
 {
   StoredConfiguration mStored;
-  /** The wanted configuration was in force already; nothing was written. */
+  /** The wanted configuration was already in force; nothing was written. */
   bool mUnchanged = false;
-  /** It was redone on top of a newer version than its base. */
+  /** The change was merged with a newer version than its base. */
   bool mRebased = false;
 };
 
-/** Reads configurations from the platform, and has changes accepted there.
+/** Reads configurations from the platform and commits changes to it.
  *
- * A version is stored as parts and one head. Parts are written first, under
- * keys that no other write uses; the conditional update of the head accepts
- * the version as a whole. Before a head is replaced it is kept as history, so
- * that an edit that began from it can be merged.
+ * A version is stored as parts and one head. The parts are written first, under
+ * keys that no other write uses; the conditional update of the head accepts the
+ * version atomically. Before a head is replaced it is stored in the history, so
+ * that an edit based on it can be merged.
  *
  * Blocks; not thread safe, and the rule of SyncObjectStore applies.
  */
@@ -57,45 +57,45 @@
 public:
   struct Options
   {
-    /** Rounds of reading, merging and writing before a change gives up. */
-    unsigned mAttempts = 8;
-    /** Versions kept as history: 64 at the planned 5,100 changes a day are 18
-     * minutes, far more than the seconds that a slow reader needs for the
-     * parts of a head that it holds. */
-    std::uint64_t mHistory = 64;
-    /** Guard: after a lost answer, read back and compare the nonce. */
+    /** Attempts to read, merge and write before a change is abandoned. */
+    unsigned mMaxAttempts = 8;
+    /** Number of versions retained as history. At the planned 5,100 changes per
+     * day, 64 versions cover 18 minutes; a slow reader needs a few seconds to
+     * read the parts of its head. */
+    std::uint64_t mHistoryLength = 64;
+    /** Guard: after a lost answer, reads the head back and compares the nonce.
+     */
     bool mSettleLostAnswers = true;
-    /** Guard: never take a head older than one that was read before. */
+    /** Guard: refuses a head that is older than one read before. */
     bool mRefuseStaleReads = true;
-    /** Milliseconds since the Unix epoch. */
+    /** Returns milliseconds since the Unix epoch; null: the system clock. */
     std::function<std::int64_t()> mWallClock;
-    /** Seed of nonces; no two writers may share it. */
+    /** Seed of the nonces; must differ between writers. 0: a random seed. */
     std::uint64_t mSeed = 0;
   };
 
-  /** aStore outlives it. The clock is the machine's and the seed a random one
-   * unless aOptions gives them. */
+  /** aStore must outlive this object. */
   ConfigurationStore(SyncObjectStore& aStore, Options aOptions);
 
-  /** The newest version; none if there never was one. */
+  /** Reads the newest version; none if there is no version yet. */
   Result<std::optional<StoredConfiguration>> Read();
 
-  /** The newest version's head alone; NotFound if there is none. */
+  /** Reads only the head of the newest version; NotFound if there is none. */
   Result<ConfigurationHead> ReadNewestHead();
 
-  /** An older version that is still kept; NotFound if it is not. */
+  /** Reads an older version; NotFound if it is no longer retained. */
   Result<ConfigurationPtr> ReadVersion(std::uint64_t aVersion);
 
-  /** What an edit began from: the version that its text names or, with
-   * aVersion 0, the newest, which it then replaces. Conflict if that version is
-   * not kept any more. */
+  /** Finds the base of an edit: version aVersion or, if that is 0, the newest
+   * version, which the edit then replaces. Conflict if the version is no longer
+   * retained. */
   Result<ConfigurationPtr> FindBase(std::uint64_t aVersion,
                                     const ConfigurationPtr& aNewest);
 
-  /** Has a change accepted. Edits of others to other services since its base
-   * stay in force. Conflict: the message names the newer version, its author
-   * and time, and the remedy; nothing of the change took effect. Timeout: it
-   * may have taken effect, and the platform did not tell.
+  /** Commits a change, merging it with the edits that others made to other
+   * services since its base. Conflict: the change was not applied; the message
+   * names the newer version, its author and time, and the remedy. Timeout: the
+   * change may have been applied, and the platform did not confirm it.
    */
   Result<AcceptedChange> Commit(const ConfigurationChange& aChange);
 
@@ -116,18 +116,19 @@
   Result<void> WriteParts(const StoredConfiguration& aCurrent,
                           const std::vector<std::string>& aParts,
                           ConfigurationHead& aHead);
-  Result<void> WriteOnce(const std::string& aKey, const std::string& aValue);
+  Result<void> WriteIfAbsent(const std::string& aKey,
+                             const std::string& aValue);
   Result<Outcome> WriteHead(const StoredConfiguration& aCurrent,
                             StoredConfiguration& aNew);
-  Result<std::optional<Outcome>> Settle(const StoredConfiguration& aCurrent,
-                                        StoredConfiguration& aNew);
+  Result<std::optional<Outcome>> DetermineOutcome(
+    const StoredConfiguration& aCurrent, StoredConfiguration& aNew);
   Result<bool> WasAccepted(const ConfigurationHead& aHead);
 
   SyncObjectStore* mStore;
   Options mOptions;
   std::mt19937_64 mRandom;
-  /** Highest version of the head object seen so far. */
-  std::uint64_t mSeen = 0;
+  /** Highest version of the head object read or written so far. */
+  std::uint64_t mHighestSeenVersion = 0;
 };
 
 } // namespace heatherplank
--- a/src/config/ConfigurationWriter.cpp
+++ b/src/config/ConfigurationWriter.cpp
@@ -17,8 +17,9 @@
 
 constexpr std::array<std::string_view, 4> kImportances{ "low", "normal", "high",
                                                         "critical" };
-/** A list or object whose text fits this many bytes stays on one line. */
-constexpr std::size_t kOneLine = 72;
+/** A list or object is written on one line if it fits into this many bytes,
+ * indentation included. */
+constexpr std::size_t kMaxOneLineBytes = 72;
 
 json::value ToJson(const ExpectedHost& aHost)
 {
@@ -69,29 +70,29 @@
 void PrintItems(const json::object& aObject, const std::string& aPad,
                 std::size_t aIndent, std::string& aOut)
 {
-  const char* between = "\n";
+  const char* separator = "\n";
   for (const auto& it : aObject) {
-    aOut += between + aPad + json::serialize(json::value(it.key())) + ": ";
+    aOut += separator + aPad + json::serialize(json::value(it.key())) + ": ";
     Print(it.value(), aIndent, aOut);
-    between = ",\n";
+    separator = ",\n";
   }
 }
 
 void PrintItems(const json::array& aArray, const std::string& aPad,
                 std::size_t aIndent, std::string& aOut)
 {
-  const char* between = "\n";
+  const char* separator = "\n";
   for (const auto& it : aArray) {
-    aOut += between + aPad;
+    aOut += separator + aPad;
     Print(it, aIndent, aOut);
-    between = ",\n";
+    separator = ",\n";
   }
 }
 
 void Print(const json::value& aValue, std::size_t aIndent, std::string& aOut)
 {
   std::string line = json::serialize(aValue);
-  if (!aValue.is_structured() || line.size() + aIndent <= kOneLine) {
+  if (!aValue.is_structured() || line.size() + aIndent <= kMaxOneLineBytes) {
     aOut += line;
     return;
   }
--- a/src/config/InForceRelay.cpp
+++ b/src/config/InForceRelay.cpp
@@ -9,11 +9,11 @@
 {
 }
 
-/** ConfigDistribution never steps back, but its actions are carried out after
- * its lock was let go. Two threads that took version 5 and version 6 out of it
- * may get here in the other order, and the process would route by version 5
- * until the next change. The check and the call stand under one lock, so the
- * later number stays.
+/** ConfigDistribution never reverts, but its actions are executed after its
+ * lock was released. Two threads with version 5 and version 6 may call this in
+ * the reverse order, and the process would route by version 5 until the next
+ * change. The check and the call share one lock, so the higher version stays in
+ * force.
  */
 void InForceRelay::Deliver(const ConfigurationPtr& aConfiguration)
 {
--- a/src/config/InForceRelay.h
+++ b/src/config/InForceRelay.h
@@ -7,18 +7,19 @@
 
 namespace heatherplank {
 
-/** Hands configurations that came into force on to the rest of a process, each
- * once and in order of their versions. Thread safe.
+/** Passes configurations that came into force to the rest of the process, each
+ * at most once and in the order of their versions. Thread safe.
  */
 class InForceRelay
 {
 public:
   using OnChange = std::function<void(const ConfigurationPtr&)>;
 
-  /** aOnChange is called under the relay's lock: it must not call the relay. */
+  /** aOnChange is called under the relay's lock and must not call the relay. */
   explicit InForceRelay(OnChange aOnChange);
 
-  /** Hands a configuration on unless the same version or a higher one was. */
+  /** Passes on a configuration, unless the same or a higher version was passed
+   * on before. */
   void Deliver(const ConfigurationPtr& aConfiguration);
 
 private:
--- a/tests/ConfigDistributionTest.cpp
+++ b/tests/ConfigDistributionTest.cpp
@@ -16,7 +16,8 @@
 
 using Options = ConfigWorld::Options;
 
-/** The longest time from acceptance to force, over all processes. */
+/** Publishes a version and returns the time until it is in force on the last
+ * node. */
 Duration PublishAndWait(ConfigWorld& aWorld, int aSlots)
 {
   Time accepted = aWorld.mNow;
@@ -29,8 +30,8 @@
   return last - accepted;
 }
 
-/** Processes that do not run the newest version. */
-int Behind(const ConfigWorld& aWorld)
+/** The number of nodes without the newest version. */
+int CountBehind(const ConfigWorld& aWorld)
 {
   return static_cast<int>(
     std::ranges::count_if(aWorld.mNodes, [&](const auto& aIt) {
@@ -38,9 +39,10 @@
     }));
 }
 
-/** A random schedule of changes, cuts, restarts, freezes, outages and stale
- * offers; the number of times that a process reported a lower version. */
-std::uint64_t PlaySchedule(Options aOptions, std::uint64_t aSeed)
+/** Runs a random schedule of changes, isolated balancers, restarts, platform
+ * outages and stale reads; returns how often a node went back to a lower
+ * version. */
+std::uint64_t RunRandomSchedule(Options aOptions, std::uint64_t aSeed)
 {
   aOptions.mSeed = aSeed;
   aOptions.mLoss = 0.1;
@@ -56,7 +58,7 @@
         world.Publish(MakeFleet(world.mOptions.mServices, 2 + step));
         break;
       case 2:
-        any.mIsCut = !any.mIsCut;
+        any.mIsIsolated = !any.mIsIsolated;
         break;
       case 3:
         world.Restart(any);
@@ -70,7 +72,7 @@
     }
     world.Run(std::chrono::milliseconds(random() % 800));
   }
-  return world.Reverted();
+  return world.CountReverts();
 }
 
 } // namespace
@@ -80,20 +82,21 @@
   Options mOptions;
 };
 
-TEST(ConfigDistribution, AChangeIsInForceEverywhereWithinSeconds)
+TEST(ConfigDistribution, ChangeComesIntoForceOnAllNodes)
 {
   mOptions.mBalancers = 20;
   mOptions.mAgents = 2;
   ConfigWorld world(mOptions);
   PublishAndWait(world, 2);
-  CHECK_TRUE(world.AllRun(1));
+  CHECK_TRUE(world.AllHaveVersion(1));
   CHECK_TRUE(PublishAndWait(world, 3) < 100ms);
-  CHECK_TRUE(world.AllRun(2));
+  CHECK_TRUE(world.AllHaveVersion(2));
 }
 
-// One message in ten is lost, offers, requests and parts alike. Pushes alone
-// leave balancers behind for good; the digests find them within seconds.
-TEST(ConfigDistribution, DigestsMakeGoodWhatWasLost)
+// One message in four is lost: offers, requests and parts alike. With pushes
+// alone a balancer that misses messages stays at an old version; digests repair
+// it within seconds.
+TEST(ConfigDistribution, DigestsRepairLostMessages)
 {
   for (bool digests : { true, false }) {
     mOptions.mBalancers = 20;
@@ -104,13 +107,13 @@
     for (int i = 0; i < 10; ++i) {
       PublishAndWait(world, 2 + i);
     }
-    CHECK_EQUAL(digests, Behind(world) == 0);
+    CHECK_EQUAL(digests, CountBehind(world) == 0);
   }
 }
 
-// The platform goes down, and a balancer is replaced. The new one has nothing,
-// and there is nobody to read the configuration from but its peers.
-TEST(ConfigDistribution, AProcessThatStartsInAnOutageTakesItFromPeers)
+// A balancer restarts without state while the platform is down, so that only
+// its peers can provide the configuration.
+TEST(ConfigDistribution, BalancerStartedInPlatformOutageFetchesFromPeers)
 {
   ConfigWorld world(mOptions);
   PublishAndWait(world, 2);
@@ -124,57 +127,59 @@
   }
 }
 
-// A data centre loses the platform but not its peers: its watchers see nothing
-// of a new version, which must come from another data centre.
-TEST(ConfigDistribution, ADataCentreCutOffFromThePlatformStillGetsIt)
+// A data centre loses the connection to the platform but not to its peers. Its
+// watchers miss a new version, which must come from another data centre.
+TEST(ConfigDistribution, DataCentreIsolatedFromPlatformReceivesNewVersion)
 {
   ConfigWorld world(mOptions);
   PublishAndWait(world, 2);
   for (auto* it : world.Balancers()) {
-    it->mIsCutFromPlatform = it->mPeer.mDataCentre == MakeDataCentreId("dc-0");
+    it->mIsIsolatedFromPlatform =
+      it->mPeer.mDataCentre == MakeDataCentreId("dc-0");
   }
   CHECK_TRUE(PublishAndWait(world, 3) < 4s);
-  CHECK_TRUE(world.AllRun(2));
+  CHECK_TRUE(world.AllHaveVersion(2));
 }
 
-// A balancer is cut off through several changes and healed. The offers that it
-// meets then begin from versions that it never had, and its watch skips them.
-TEST(ConfigDistribution, ABalancerThatMissedVersionsCatchesUp)
+// A balancer is isolated during several changes and reconnected. The offers
+// that it then receives are based on versions that it never had, and its watch
+// returns only the newest one.
+TEST(ConfigDistribution, BalancerThatMissedVersionsCatchesUp)
 {
   ConfigWorld world(mOptions);
   PublishAndWait(world, 2);
   for (auto* it : world.Balancers()) {
-    it->mIsCut = true;
+    it->mIsIsolated = true;
     for (int i = 0; i < 3; ++i) {
       PublishAndWait(world, 3 + i);
     }
-    it->mIsCut = false;
+    it->mIsIsolated = false;
     world.Run(4s);
     CHECK_EQUAL(world.mHead.mVersion, it->mVersion);
   }
-  LONGS_EQUAL(0, world.Reverted());
+  LONGS_EQUAL(0, world.CountReverts());
 }
 
-// Freezes, cuts, restarts, stale replicas and peers in any order: no process
-// ever reports a lower version than before. With the guard off some do.
-TEST(ConfigDistribution, NoScheduleBringsALowerVersion)
+// Isolation, restarts, outages and stale replicas in random order never make a
+// node go back to a lower version. Without the guard some nodes do.
+TEST(ConfigDistribution, RandomFaultsNeverRevertAVersion)
 {
   std::uint64_t reverted = 0;
   for (std::uint64_t seed = 1; seed <= 200; ++seed) {
-    reverted += PlaySchedule(mOptions, seed);
+    reverted += RunRandomSchedule(mOptions, seed);
   }
   LONGS_EQUAL(0, reverted);
   mOptions.mDistribution.mRefuseOlder = false;
   mOptions.mAgent.mRefuseOlder = false;
   for (std::uint64_t seed = 1; seed <= 20; ++seed) {
-    reverted += PlaySchedule(mOptions, seed);
+    reverted += RunRandomSchedule(mOptions, seed);
   }
   CHECK_TRUE(reverted > 0);
 }
 
-// A balancer that was frozen wakes and pushes the version that it had, head and
-// all, to a peer and an agent that are further on.
-TEST(ConfigDistribution, AStalePeersPushIsRefusedAndCounted)
+// A balancer resumes after a suspension and pushes its old version, including
+// the head, to a peer and an agent that have a newer one.
+TEST(ConfigDistribution, PushOfOlderVersionIsRefusedAndCounted)
 {
   for (bool guard : { true, false }) {
     mOptions.mDistribution.mRefuseOlder = guard;
@@ -191,7 +196,7 @@
                  ConfigObjects{ 1, oldHead, {} });
     world.Inject(balancer->mId, *agent, ConfigObjects{ 1, entry, {} });
     world.Run(20ms);
-    CHECK_EQUAL(guard, agent->mReverted == 0);
+    CHECK_EQUAL(guard, agent->mReverts == 0);
     if (guard) {
       LONGS_EQUAL(2, balancer->mVersion);
       LONGS_EQUAL(1, agent->mAgent->Counters().mRefusedOlder);
@@ -200,12 +205,12 @@
   }
 }
 
-// Somebody writes parts below config/ by hand that give two services the same
-// address. Each receiver must keep what it has, and take the next good version.
-TEST(ConfigDistribution, AVersionThatFailsTheCheckIsRefusedWhole)
+// Parts written below config/ by hand give two services the same address. Each
+// receiver must keep its version and adopt the next valid one.
+TEST(ConfigDistribution, InvalidVersionIsRefusedAsAWhole)
 {
   for (bool guard : { true, false }) {
-    mOptions.mDistribution.mCheckWhole = guard;
+    mOptions.mDistribution.mValidate = guard;
     mOptions.mAgents = 0;
     ConfigWorld world(mOptions);
     PublishAndWait(world, 2);
@@ -214,47 +219,49 @@
     parts[1].replace(at, 11, "10.0.0.1:80");
     world.PublishParts(parts);
     world.Run(3s);
-    CHECK_EQUAL(guard, world.AllRun(1));
+    CHECK_EQUAL(guard, world.AllHaveVersion(1));
     if (guard) {
       CHECK_TRUE(
         world.Balancers().front()->mBalancer->Counters().mRefusedInvalid > 0);
     }
     PublishAndWait(world, 5);
-    CHECK_TRUE(world.AllRun(3));
+    CHECK_TRUE(world.AllHaveVersion(3));
   }
 }
 
-// All watches break at the moment when the platform goes down. If every watcher
-// came back after the same pause, the platform would meet them all at once.
-TEST(ConfigDistribution, TheEndOfAnOutageIsNoStampede)
+// All watches fail at the same time when the platform goes down. If every
+// watcher retried after the same pause, the platform would receive a burst of
+// simultaneous calls.
+TEST(ConfigDistribution, JitterSpreadsCallsAfterPlatformOutage)
 {
   for (bool jitter : { true, false }) {
     mOptions.mDataCentres = 13;
     mOptions.mBalancers = 3;
     mOptions.mAgents = 0;
     mOptions.mDistribution.mPlatform.mJitter = jitter;
-    mOptions.mDistribution.mPlatform.mWatchWait = 1h;
+    mOptions.mDistribution.mPlatform.mWatchTimeout = 1h;
     ConfigWorld world(mOptions);
     PublishAndWait(world, 2);
     world.mPlatformUp = false;
-    world.Publish(MakeFleet(4, 3)); // ends all watches
+    world.Publish(MakeFleet(4, 3)); // fails all watches
     world.Run(60s);
     auto calls = world.mCalls.size();
     world.Run(60s);
     double perSecond = static_cast<double>(world.mCalls.size() - calls) / 60;
-    // 39 watchers, each paused for 5 s on average, against five a second each.
+    // 39 watchers: with jitter they pause for 5 s on average, without it each
+    // calls five times a second.
     CHECK_EQUAL(jitter, perSecond < 15);
     world.mPlatformUp = true;
     Time up = world.mNow;
     world.Run(12s);
-    CHECK_TRUE(world.AllRun(2));
+    CHECK_TRUE(world.AllHaveVersion(2));
     auto first = std::ranges::count_if(
       world.mCalls, [&](Time aAt) { return aAt >= up && aAt < up + 200ms; });
     CHECK_EQUAL(jitter, first < 20);
   }
 }
 
-TEST(ConfigDistribution, AgentsGetTheirEntryOnlyAndTheVersionOtherwise)
+TEST(ConfigDistribution, AgentReceivesOnlyEntryOfItsService)
 {
   mOptions.mServices = 200;
   mOptions.mAgents = 2;
@@ -263,7 +270,8 @@
   auto agents = world.Agents();
   LONGS_EQUAL(1, agents[0]->mAgent->InForce()->mServices.size());
   auto before = agents[1]->mBytes;
-  PublishAndWait(world, 3); // changes service 0, not agent 1's service 1
+  // Changes service 0; agent 1 belongs to service 1.
+  PublishAndWait(world, 3);
   LONGS_EQUAL(2, agents[1]->mVersion);
   CHECK_TRUE(agents[1]->mBytes - before < 1000);
   LONGS_EQUAL(
@@ -272,7 +280,7 @@
 
 TEST_GROUP(CallLimits){};
 
-TEST(CallLimits, TokensComeAtTheirRateAndBurstsAreBounded)
+TEST(CallLimits, TokenBucketLimitsRateAndBurst)
 {
   Time now = Time{} + 1h;
   TokenBucket bucket(2, 3, now);
@@ -288,7 +296,7 @@
   CHECK_TRUE(bucket.TryTake(bucket.NextAt(at)));
 }
 
-TEST(CallLimits, PausesGrowAreSpreadAndStartAgain)
+TEST(CallLimits, BackoffGrowsToItsMaximumAndResets)
 {
   Backoff backoff(100ms, 10s, 7);
   Duration longest{};
--- a/tests/ConfigWorld.cpp
+++ b/tests/ConfigWorld.cpp
@@ -43,7 +43,7 @@
       MakeBalancer(AddNode(name + "-b" + std::to_string(i), name));
     }
   }
-  IntroducePeers();
+  UpdatePeers();
   for (auto* it : Balancers()) {
     for (int i = 0; i < aOptions.mAgents; ++i) {
       Node& agent =
@@ -56,7 +56,7 @@
     }
   }
   for (auto& it : mNodes) {
-    TickForever(*it);
+    ScheduleTicks(*it);
   }
 }
 
@@ -83,13 +83,13 @@
 ConfigWorld::Node& ConfigWorld::Restart(Node& aNode)
 {
   MakeBalancer(aNode);
-  std::erase_if(mWatches,
-                [&](const Waiting& aIt) { return aIt.mNode == &aNode; });
-  IntroducePeers();
+  std::erase_if(mPendingWatches,
+                [&](const PendingWatch& aIt) { return aIt.mNode == &aNode; });
+  UpdatePeers();
   return aNode;
 }
 
-void ConfigWorld::IntroducePeers()
+void ConfigWorld::UpdatePeers()
 {
   std::vector<ConfigPeer> peers;
   for (auto* it : Balancers()) {
@@ -122,22 +122,22 @@
   return out;
 }
 
-bool ConfigWorld::AllRun(std::uint64_t aVersion)
+bool ConfigWorld::AllHaveVersion(std::uint64_t aVersion)
 {
   return std::ranges::all_of(
     mNodes, [&](const auto& aIt) { return aIt->mVersion == aVersion; });
 }
 
-std::uint64_t ConfigWorld::Reverted() const
+std::uint64_t ConfigWorld::CountReverts() const
 {
   std::uint64_t out = 0;
   for (const auto& it : mNodes) {
-    out += it->mReverted;
+    out += it->mReverts;
   }
   return out;
 }
 
-void ConfigWorld::After(Duration aDelay, std::function<void()> aRun)
+void ConfigWorld::Schedule(Duration aDelay, std::function<void()> aRun)
 {
   mEvents.push({ mNow + aDelay, mOrder++, std::move(aRun) });
 }
@@ -154,27 +154,27 @@
   mNow = end;
 }
 
-void ConfigWorld::TickForever(Node& aNode)
+void ConfigWorld::ScheduleTicks(Node& aNode)
 {
   auto first = std::chrono::microseconds(mRandom() % 100000);
-  After(first, [this, &aNode] {
+  Schedule(first, [this, &aNode] {
     aNode.mBalancer ? aNode.mBalancer->Tick(mNow) : aNode.mAgent->Tick(mNow);
-    Collect(aNode);
-    After(std::chrono::milliseconds(100) - std::chrono::microseconds(1),
-          [this, &aNode] { TickForever(aNode); });
+    ExecuteActions(aNode);
+    Schedule(std::chrono::milliseconds(100) - std::chrono::microseconds(1),
+             [this, &aNode] { ScheduleTicks(aNode); });
   });
 }
 
-void ConfigWorld::Collect(Node& aNode)
+void ConfigWorld::ExecuteActions(Node& aNode)
 {
   auto actions = aNode.mBalancer ? aNode.mBalancer->TakeActions()
                                  : aNode.mAgent->TakeActions();
   for (auto& it : actions) {
-    std::visit([&](auto& aIt) { Do(aNode, aIt); }, it);
+    std::visit([&](auto& aIt) { Execute(aNode, aIt); }, it);
   }
 }
 
-void ConfigWorld::Do(Node& aNode, ConfigSend& aAction)
+void ConfigWorld::Execute(Node& aNode, ConfigSend& aAction)
 {
   auto to = mById.find(aAction.mTo);
   if (to == mById.end()) {
@@ -185,7 +185,7 @@
   aNode.mBytes += size;
   aNode.mMessages += 1;
   std::uniform_real_distribution<double> draw(0, 1);
-  if (draw(mRandom) >= mOptions.mLoss && !aNode.mIsCut) {
+  if (draw(mRandom) >= mOptions.mLoss && !aNode.mIsIsolated) {
     to->second->mBytes += size;
     Inject(aNode.mId, *to->second, std::move(aAction.mMessage));
   }
@@ -194,7 +194,7 @@
 void ConfigWorld::Inject(HostId aFrom, Node& aTo, ConfigMessage aMessage)
 {
   auto delay = mOptions.mDelay + std::chrono::microseconds(mRandom() % 500);
-  After(delay, [this, aFrom, &aTo, message = std::move(aMessage)] {
+  Schedule(delay, [this, aFrom, &aTo, message = std::move(aMessage)] {
     Deliver(aFrom, aTo, message);
   });
 }
@@ -202,7 +202,7 @@
 void ConfigWorld::Deliver(HostId aFrom, Node& aTo,
                           const ConfigMessage& aMessage)
 {
-  if (aTo.mIsCut) {
+  if (aTo.mIsIsolated) {
     return;
   }
   if (aTo.mBalancer) {
@@ -210,81 +210,82 @@
   } else {
     aTo.mAgent->OnMessage(aFrom, aMessage, mNow);
   }
-  Collect(aTo);
+  ExecuteActions(aTo);
 }
 
-void ConfigWorld::AnswerWatch(Node& aNode,
-                              Result<std::optional<Object>> aResult)
+void ConfigWorld::CompleteWatch(Node& aNode,
+                                Result<std::optional<Object>> aResult)
 {
   auto* balancer = aNode.mBalancer.get();
-  After(mOptions.mPlatformDelay,
-        [this, &aNode, balancer, result = std::move(aResult)]() mutable {
-          if (aNode.mBalancer.get() == balancer) {
-            balancer->OnWatched(std::move(result), mNow);
-            balancer->Tick(mNow);
-            Collect(aNode);
-          }
-        });
+  Schedule(mOptions.mPlatformDelay,
+           [this, &aNode, balancer, result = std::move(aResult)]() mutable {
+             if (aNode.mBalancer.get() == balancer) {
+               balancer->OnWatched(std::move(result), mNow);
+               balancer->Tick(mNow);
+               ExecuteActions(aNode);
+             }
+           });
 }
 
 Object ConfigWorld::HeadObject() const
 {
   return { std::string(config_keys::kHead),
-           mPlatformStale ? mOldHeadText : mHeadText, mObjectVersion };
+           mPlatformStale ? mPreviousHeadText : mHeadText, mObjectVersion };
 }
 
-bool ConfigWorld::Reaches(const Node& aNode) const
+bool ConfigWorld::ReachesPlatform(const Node& aNode) const
 {
-  return mPlatformUp && !aNode.mIsCut && !aNode.mIsCutFromPlatform;
+  return mPlatformUp && !aNode.mIsIsolated && !aNode.mIsIsolatedFromPlatform;
 }
 
-void ConfigWorld::Do(Node& aNode, const ConfigWatch& aAction)
+void ConfigWorld::Execute(Node& aNode, const ConfigWatch& aAction)
 {
   mCalls.push_back(mNow);
-  if (!Reaches(aNode)) {
-    AnswerWatch(aNode, Fail(ErrorKind::Unavailable, "down", ""));
+  if (!ReachesPlatform(aNode)) {
+    CompleteWatch(aNode, Fail(ErrorKind::Unavailable, "down", ""));
   } else if (mObjectVersion > aAction.mAfter) {
-    AnswerWatch(aNode, std::optional(HeadObject()));
+    CompleteWatch(aNode, std::optional(HeadObject()));
   } else {
-    mWatches.push_back({ &aNode, aAction.mAfter });
+    mPendingWatches.push_back({ &aNode, aAction.mAfter });
     auto* balancer = aNode.mBalancer.get();
-    After(aAction.mWait, [this, &aNode, balancer] {
-      bool mine = aNode.mBalancer.get() == balancer;
-      if (mine && std::erase_if(mWatches, [&](const Waiting& aIt) {
-                    return aIt.mNode == &aNode;
-                  }) > 0) {
-        AnswerWatch(aNode, std::optional<Object>());
+    Schedule(aAction.mWait, [this, &aNode, balancer] {
+      bool isSameProcess = aNode.mBalancer.get() == balancer;
+      if (isSameProcess &&
+          std::erase_if(mPendingWatches, [&](const PendingWatch& aIt) {
+            return aIt.mNode == &aNode;
+          }) > 0) {
+        CompleteWatch(aNode, std::optional<Object>());
       }
     });
   }
 }
 
-void ConfigWorld::Do(Node& aNode, const ConfigFetch& aAction)
+void ConfigWorld::Execute(Node& aNode, const ConfigFetch& aAction)
 {
   mCalls.push_back(mNow);
   auto* balancer = aNode.mBalancer.get();
-  After(2 * mOptions.mPlatformDelay, [this, &aNode, aAction, balancer] {
+  Schedule(2 * mOptions.mPlatformDelay, [this, &aNode, aAction, balancer] {
     if (aNode.mBalancer.get() != balancer) {
       return;
     }
     Result<Object> result = Fail(ErrorKind::Unavailable, "down", "");
     auto it = mParts.find(aAction.mKey);
-    if (Reaches(aNode) && it != mParts.end()) {
+    if (ReachesPlatform(aNode) && it != mParts.end()) {
       result = Object{ it->first, it->second, 1 };
     }
     balancer->OnFetched(aAction.mHash, std::move(result), mNow);
     balancer->Tick(mNow);
-    Collect(aNode);
+    ExecuteActions(aNode);
   });
 }
 
-void ConfigWorld::Do(Node& aNode, const ConfigInForce& aAction)
+void ConfigWorld::Execute(Node& aNode, const ConfigInForce& aAction)
 {
   std::uint64_t version = aAction.mConfiguration->mVersion;
-  aNode.mReverted += version < aNode.mVersion ? 1 : 0;
+  aNode.mReverts += version < aNode.mVersion ? 1 : 0;
   aNode.mVersion = version;
   aNode.mInForceAt = mNow;
-  aNode.mSteps += 1;
+  aNode.mAdoptions += 1;
 }
 
 void ConfigWorld::Publish(const Configuration& aConfiguration)
@@ -304,17 +305,18 @@
   auto before = std::exchange(mHead.mParts, {});
   for (std::size_t i = 0; i < aParts.size(); ++i) {
     PartRef part{ HashPart(aParts[i]), mHead.mNonce };
-    bool kept = before.size() == aParts.size() && before[i].mHash == part.mHash;
-    mHead.mParts.push_back(kept ? before[i] : part);
+    bool isReused =
+      before.size() == aParts.size() && before[i].mHash == part.mHash;
+    mHead.mParts.push_back(isReused ? before[i] : part);
     mParts[config_keys::Part(mHead.mParts.back())] = aParts[i];
   }
-  mOldHeadText = std::exchange(mHeadText, SerializeHead(mHead));
+  mPreviousHeadText = std::exchange(mHeadText, SerializeHead(mHead));
   ++mObjectVersion;
-  for (const auto& it : std::exchange(mWatches, {})) {
-    if (Reaches(*it.mNode)) {
-      AnswerWatch(*it.mNode, std::optional(HeadObject()));
+  for (const auto& it : std::exchange(mPendingWatches, {})) {
+    if (ReachesPlatform(*it.mNode)) {
+      CompleteWatch(*it.mNode, std::optional(HeadObject()));
     } else {
-      AnswerWatch(*it.mNode, Fail(ErrorKind::Unavailable, "down", ""));
+      CompleteWatch(*it.mNode, Fail(ErrorKind::Unavailable, "down", ""));
     }
   }
 }
--- a/tests/ConfigWorld.h
+++ b/tests/ConfigWorld.h
@@ -13,12 +13,13 @@
 
 namespace heatherplank {
 
-/** A valid configuration with this many services of five hosts each, of which
- * service 0 has aSlots slots a host. */
+/** Makes a valid configuration with aServices services of five hosts each;
+ * service 0 has aSlots slots per host. */
 Configuration MakeFleet(int aServices, int aSlots = 2);
 
-/** Balancers and agents in process over a queue of events, with a platform
- * that holds one head and its parts. Time stands still between events.
+/** In-process discrete-event simulation of balancers, agents and a platform
+ * that stores one head and its parts. Time advances only from one event to the
+ * next.
  */
 class ConfigWorld
 {
@@ -31,7 +32,7 @@
     int mServices = 4;
     double mLoss = 0;
     std::uint64_t mSeed = 1;
-    /** One way between processes, and to the platform. */
+    /** One-way delay between nodes, and to the platform. */
     Duration mDelay = std::chrono::milliseconds(1);
     Duration mPlatformDelay = std::chrono::milliseconds(3);
     ConfigDistribution::Options mDistribution;
@@ -42,43 +43,43 @@
   {
     HostId mId;
     ConfigPeer mPeer;
-    /** One of the two. */
+    /** Exactly one of these two is set. */
     std::unique_ptr<ConfigDistribution> mBalancer;
     std::unique_ptr<AgentConfiguration> mAgent;
-    /** Neither sends nor receives. */
-    bool mIsCut = false;
-    bool mIsCutFromPlatform = false;
+    /** Isolated: neither sends nor receives. */
+    bool mIsIsolated = false;
+    bool mIsIsolatedFromPlatform = false;
     std::uint64_t mVersion = 0;
     Time mInForceAt{};
-    std::uint64_t mSteps = 0;
-    std::uint64_t mReverted = 0;
+    std::uint64_t mAdoptions = 0;
+    std::uint64_t mReverts = 0;
     std::uint64_t mBytes = 0;
     std::uint64_t mMessages = 0;
   };
 
   explicit ConfigWorld(const Options& aOptions);
 
-  /** Has a configuration accepted as the next version. */
+  /** Stores a configuration on the platform as the next version. */
   void Publish(const Configuration& aConfiguration);
-  /** The same with these texts as parts, checked by nobody. */
+  /** As Publish, with these parts and without validation. */
   void PublishParts(const std::vector<std::string>& aParts);
-  /** Replaces a balancer by a fresh one; returns it. */
+  /** Replaces a balancer by a new one without state; returns its node. */
   Node& Restart(Node& aNode);
   void Run(Duration aFor);
-  /** Delivers a message as if aFrom had sent it. */
+  /** Delivers a message as if sent by aFrom. */
   void Inject(HostId aFrom, Node& aTo, ConfigMessage aMessage);
 
   std::vector<Node*> Balancers();
   std::vector<Node*> Agents();
-  bool AllRun(std::uint64_t aVersion);
-  std::uint64_t Reverted() const;
+  bool AllHaveVersion(std::uint64_t aVersion);
+  std::uint64_t CountReverts() const;
 
   Options mOptions;
   Time mNow = Time{} + std::chrono::hours(1);
   std::mt19937_64 mRandom;
   std::vector<std::unique_ptr<Node>> mNodes;
   bool mPlatformUp = true;
-  /** The platform answers with the head before the newest. */
+  /** The platform returns the head before the newest one. */
   bool mPlatformStale = false;
   ConfigurationHead mHead;
   std::vector<Time> mCalls;
@@ -94,7 +95,7 @@
       return std::tie(aOther.mAt, aOther.mOrder) < std::tie(mAt, mOrder);
     }
   };
-  struct Waiting
+  struct PendingWatch
   {
     Node* mNode;
     std::uint64_t mAfter;
@@ -102,26 +103,26 @@
 
   Node& AddNode(const std::string& aName, const std::string& aDataCentre);
   void MakeBalancer(Node& aNode);
-  void IntroducePeers();
-  void After(Duration aDelay, std::function<void()> aRun);
-  void TickForever(Node& aNode);
-  void Collect(Node& aNode);
-  void Do(Node& aNode, ConfigSend& aAction);
-  void Do(Node& aNode, const ConfigWatch& aAction);
-  void Do(Node& aNode, const ConfigFetch& aAction);
-  void Do(Node& aNode, const ConfigInForce& aAction);
+  void UpdatePeers();
+  void Schedule(Duration aDelay, std::function<void()> aRun);
+  void ScheduleTicks(Node& aNode);
+  void ExecuteActions(Node& aNode);
+  void Execute(Node& aNode, ConfigSend& aAction);
+  void Execute(Node& aNode, const ConfigWatch& aAction);
+  void Execute(Node& aNode, const ConfigFetch& aAction);
+  void Execute(Node& aNode, const ConfigInForce& aAction);
   void Deliver(HostId aFrom, Node& aTo, const ConfigMessage& aMessage);
-  void AnswerWatch(Node& aNode, Result<std::optional<Object>> aResult);
+  void CompleteWatch(Node& aNode, Result<std::optional<Object>> aResult);
   Object HeadObject() const;
-  bool Reaches(const Node& aNode) const;
+  bool ReachesPlatform(const Node& aNode) const;
 
   std::map<HostId, Node*> mById;
   std::priority_queue<Event> mEvents;
   std::uint64_t mOrder = 0;
   std::map<std::string, std::string> mParts;
-  std::vector<Waiting> mWatches;
+  std::vector<PendingWatch> mPendingWatches;
   std::string mHeadText;
-  std::string mOldHeadText;
+  std::string mPreviousHeadText;
   std::uint64_t mObjectVersion = 0;
 };
 
--- a/tests/ConfigurationParserTest.cpp
+++ b/tests/ConfigurationParserTest.cpp
@@ -10,7 +10,7 @@
 
 namespace {
 
-/** A small valid configuration with one part of it replaced. */
+/** Returns a small valid configuration in which aOld is replaced by aNew. */
 std::string WithChange(const std::string& aOld, const std::string& aNew)
 {
   std::string text = R"({
@@ -38,7 +38,7 @@
 
 TEST_GROUP(ConfigurationParser){};
 
-TEST(ConfigurationParser, NamesWhatIsWrongAndTheRemedy)
+TEST(ConfigurationParser, FaultNamesPathValueAndRemedy)
 {
   struct Case
   {
@@ -48,22 +48,22 @@
   };
   const Case cases[] = {
     { "hall-b", "hall-a",
-      "c: data_centres: \"hall-a\" stands twice; list each data centre once" },
+      "c: data_centres: \"hall-a\" appears twice; list each data centre once" },
     { "[\"hall-a\", \"hall-b\"]", "[]", "c: data_centres: no data centre" },
     { "random", "best", "c: policy.name: found \"best\"; give one of: random" },
     { "\"random\"", "\"random\", \"imbalance_weight\": -1",
       "c: policy.imbalance_weight: found -1" },
-    { "\"docs\"", "\"desk\"", "c: services[1].name: \"desk\" stands twice" },
+    { "\"docs\"", "\"desk\"", "c: services[1].name: \"desk\" appears twice" },
     { "\"docs\"", "\"Docs\"", "c: services[1].name: found \"Docs\"; use at" },
     { "7002", "7001",
       "c: services[1].addresses[0]: 127.0.0.1:7001 belongs to service "
-      "\"desk\"; give each address to one service, once" },
+      "\"desk\"; list each address once, in one service" },
     { "127.0.0.1:7002", "desk.example:80",
       "c: services[1].addresses[0]: found \"desk.example:80\"" },
-    { "127.0.0.1:7002", "224.0.0.1:7002", "which no caller reaches" },
-    { "127.0.0.1:7002", "0.0.0.0:7002", "which no caller reaches" },
-    { "127.0.0.1:7002", "[fe80::1]:7002", "which no caller reaches" },
-    { "127.0.0.1:7002", "10.0.0.1:0", "which no caller reaches" },
+    { "127.0.0.1:7002", "224.0.0.1:7002", "which callers cannot reach" },
+    { "127.0.0.1:7002", "0.0.0.0:7002", "which callers cannot reach" },
+    { "127.0.0.1:7002", "[fe80::1]:7002", "which callers cannot reach" },
+    { "127.0.0.1:7002", "10.0.0.1:0", "which callers cannot reach" },
     { "\"data_centre\": \"hall-a\"", "\"data_centre\": \"hall-z\"",
       "c: services[0].hosts[0].data_centre: \"hall-z\" is not in" },
     { ", \"data_centre\": \"hall-a\"", "",
@@ -85,7 +85,7 @@
   }
 }
 
-TEST(ConfigurationParser, ListsEveryFaultAtOnce)
+TEST(ConfigurationParser, ReportsAllFaultsOfADocument)
 {
   std::string faults = FaultsOf(R"({"data_centres": ["a"], "polici": {},
     "services": [{"name": "x", "addresses": ["nowhere"], "hosts": 3}]})");
@@ -94,7 +94,7 @@
   STRCMP_CONTAINS("services[0].hosts", faults.c_str());
 }
 
-TEST(ConfigurationParser, SamplesAreValidAndCanonicalTextReadsBack)
+TEST(ConfigurationParser, ExamplesAreValidAndCanonicalTextRoundTrips)
 {
   for (const char* file :
        { "examples/lakeside.json", "examples/puntada-fina.json" }) {
@@ -109,7 +109,7 @@
   }
 }
 
-TEST(ConfigurationParser, FindsServicesByAddressAndRulesInOrder)
+TEST(ConfigurationParser, FindsServiceByAddressAndKeepsOrderOfRules)
 {
   std::string path =
     std::string(HEATHERPLANK_SOURCE_DIR) + "/examples/lakeside.json";
--- a/tests/ConfigurationPartsTest.cpp
+++ b/tests/ConfigurationPartsTest.cpp
@@ -15,7 +15,7 @@
 
 TEST_GROUP(ConfigurationParts){};
 
-TEST(ConfigurationParts, ThePlannedFleetFitsAndAChangeMovesOnePart)
+TEST(ConfigurationParts, PlannedFleetFitsAndServiceChangeAltersOnePart)
 {
   Configuration fleet = MakeFleet(6000);
   std::size_t count = ChoosePartCount(6000, 0);
@@ -34,7 +34,7 @@
   };
   auto whole = assemble();
   CHECK_TRUE(whole.has_value());
-  CHECK_TRUE(HoldSame(fleet, **whole));
+  CHECK_TRUE(HasSameContent(fleet, **whole));
   auto after =
     SplitConfiguration(MakeFleet(6000, 9), ChoosePartCount(6000, count))
       .value();
@@ -47,7 +47,7 @@
   CHECK_FALSE(assemble().has_value());
 }
 
-TEST(ConfigurationParts, LargeServicesGetMoreParts)
+TEST(ConfigurationParts, LargeServicesAreSplitIntoMoreParts)
 {
   Configuration fleet = MakeFleet(2);
   ExpectedHost host{ std::string(100, 'h'), "a", 1 };
--- a/tests/ConfigurationStoreTest.cpp
+++ b/tests/ConfigurationStoreTest.cpp
@@ -27,7 +27,7 @@
   return aConfiguration.mServices.at(MakeServiceId(aName));
 }
 
-/** An operator with a connection of their own to the platform. */
+/** An operator with a separate connection to the platform. */
 struct Operator
 {
   Operator(FakeObjectStore& aPlatform, const char* aName, std::uint64_t aSeed,
@@ -46,7 +46,7 @@
     return aOptions;
   }
 
-  /** Has an edit of the newest version accepted. */
+  /** Commits an edit of the newest version. */
   template<typename Edit>
   Result<AcceptedChange> Change(Edit aEdit)
   {
@@ -58,7 +58,7 @@
       { now ? now->mConfiguration : nullptr, wanted, mName, std::nullopt });
   }
 
-  /** The configuration in force; its version 0 if there is none. */
+  /** Reads the configuration in force; version 0 if there is none. */
   Configuration Now()
   {
     auto now = mStore.Read().value();
@@ -70,17 +70,17 @@
   ConfigurationStore mStore;
 };
 
-void Slots(Configuration& aConfiguration, const char* aService, int aSlots)
+void ApplySlots(Configuration& aConfiguration, const char* aService, int aSlots)
 {
   Find(aConfiguration, aService).mSlotsPerHost =
     static_cast<std::uint16_t>(aSlots);
 }
 
-/** The edit that gives a service's hosts this many slots. */
+/** Returns an edit that sets a service's slots per host. */
 auto SetSlots(const char* aService, int aSlots)
 {
   return [=](Configuration& aConfiguration) {
-    Slots(aConfiguration, aService, aSlots);
+    ApplySlots(aConfiguration, aService, aSlots);
   };
 }
 
@@ -96,12 +96,12 @@
     CHECK_TRUE(first.Change([](Configuration&) {}).has_value());
   }
 
-  /** Runs aRival once, just before the next write of the head. */
-  void Race(const std::function<void()>& aRival)
+  /** Runs aRival once, before the next write of the head. */
+  void RaceWith(const std::function<void()>& aRival)
   {
     auto left = std::make_shared<int>(2);
     mPlatform.mBefore = [this, left, aRival](const std::string& aKey) {
-      // The history entry is written right before the head.
+      // The history entry is the last write before the head.
       if (aKey.starts_with(config_keys::kHistory) && --*left == 1) {
         auto hook = std::exchange(mPlatform.mBefore, nullptr);
         aRival();
@@ -109,8 +109,8 @@
     };
   }
 
-  /** Gives the next writes of the head these faults. */
-  void FailHead(std::vector<WriteFault> aFaults)
+  /** Makes the next writes of the head fail with these faults, in order. */
+  void FailHeadWrites(std::vector<WriteFault> aFaults)
   {
     auto faults = std::make_shared<std::vector<WriteFault>>(std::move(aFaults));
     mPlatform.mOnWrite = [faults](const std::string& aKey) {
@@ -123,7 +123,7 @@
     };
   }
 
-  bool EveryPartIsThere()
+  bool HasAllParts()
   {
     auto head = ParseHead(mPlatform.mObjects.at("config/head").mValue).value();
     for (const auto& it : head.mParts) {
@@ -135,14 +135,14 @@
   }
 };
 
-// Two operators edit different services from the same version. The second to
-// write finds the first one's version in force. Overwriting would undo the
-// first edit without a word; refusing would send the operator back for nothing.
-TEST(ConfigurationStore, EditsOfTwoServicesBothGoIn)
+// Two operators edit different services of the same version. Overwriting would
+// silently undo the edit that was written first, and refusing the second edit
+// would be needless, since the two can be merged.
+TEST(ConfigurationStore, ConcurrentEditsOfTwoServicesAreMerged)
 {
   Operator ana(mPlatform, "ana", 1);
   Operator ben(mPlatform, "ben", 2);
-  Race([&] { ben.Change(SetSlots("docs", 9)); });
+  RaceWith([&] { ben.Change(SetSlots("docs", 9)); });
   auto done = ana.Change(SetSlots("desk", 5));
   CHECK_TRUE(done.has_value());
   CHECK_TRUE(done->mRebased);
@@ -150,16 +150,17 @@
   LONGS_EQUAL(3, now.mVersion);
   LONGS_EQUAL(9, Find(now, "docs").mSlotsPerHost);
   LONGS_EQUAL(5, Find(now, "desk").mSlotsPerHost);
-  CHECK_TRUE(EveryPartIsThere());
+  CHECK_TRUE(HasAllParts());
 }
 
-// Two operators edit the same service. The loser must learn what is in force
-// now, who wrote it and when, and what to do; nothing of the loser's is left.
-TEST(ConfigurationStore, EditsOfOneServiceConflictWithAClearError)
+// Two operators edit the same service. The error must name the version in
+// force, its author and time, and the remedy; nothing of the second edit is
+// applied.
+TEST(ConfigurationStore, ConcurrentEditsOfOneServiceConflict)
 {
   Operator ana(mPlatform, "ana", 1);
   Operator ben(mPlatform, "ben", 2);
-  Race([&] { ben.Change(SetSlots("desk", 9)); });
+  RaceWith([&] { ben.Change(SetSlots("desk", 9)); });
   auto done = ana.Change(SetSlots("desk", 5));
   CHECK_FALSE(done.has_value());
   CHECK_TRUE(done.error().mKind == ErrorKind::Conflict);
@@ -172,20 +173,20 @@
   LONGS_EQUAL(2, now.mVersion);
 }
 
-TEST(ConfigurationStore, TheSameEditByBothIsNoConflict)
+TEST(ConfigurationStore, IdenticalConcurrentEditsDoNotConflict)
 {
   Operator ana(mPlatform, "ana", 1);
   Operator ben(mPlatform, "ben", 2);
-  Race([&] { ben.Change(SetSlots("desk", 9)); });
+  RaceWith([&] { ben.Change(SetSlots("desk", 9)); });
   auto done = ana.Change(SetSlots("desk", 9));
   CHECK_TRUE(done.has_value());
   CHECK_TRUE(done->mUnchanged);
   LONGS_EQUAL(2, ana.Now().mVersion);
 }
 
-// Each edit is fine alone, but both give a service the same address. Merged
-// blindly, packets of one service would reach the other.
-TEST(ConfigurationStore, AMergeThatFailsTheCheckIsRefused)
+// Each edit is valid alone, but together they give two services the same
+// address. If merged without validation, packets of one would reach the other.
+TEST(ConfigurationStore, InvalidMergeIsRefused)
 {
   Operator ana(mPlatform, "ana", 1);
   Operator ben(mPlatform, "ben", 2);
@@ -196,29 +197,29 @@
       Find(aConfiguration, aService).mAddresses.push_back(shared);
     };
   };
-  Race([&] { ben.Change(add("docs")); });
+  RaceWith([&] { ben.Change(add("docs")); });
   auto done = ana.Change(add("desk"));
   CHECK_FALSE(done.has_value());
   STRCMP_CONTAINS("belongs to service", done.error().mMessage.c_str());
   LONGS_EQUAL(2, ana.Now().mVersion);
 }
 
-TEST(ConfigurationStore, IfVersionAcceptsNoOtherBase)
+TEST(ConfigurationStore, IfVersionRefusesOtherBase)
 {
   Operator ana(mPlatform, "ana", 1);
   auto now = ana.mStore.Read().value();
   auto wanted = std::make_shared<Configuration>(*now->mConfiguration);
-  Slots(*wanted, "desk", 5);
+  ApplySlots(*wanted, "desk", 5);
   auto done = ana.mStore.Commit(
     { now->mConfiguration, wanted, "ana", std::uint64_t{ 7 } });
   CHECK_FALSE(done.has_value());
   STRCMP_CONTAINS("--if-version 1", done.error().mRemedy.c_str());
 }
 
-// The platform takes a write and its answer is lost; the operator must learn
-// that it was applied, once. The rows play what may have happened to the head's
-// write; whichever it was, there is one new version, and it is told as applied.
-TEST(ConfigurationStore, ALostAnswerIsSettledAndAppliedOnce)
+// The answer to the write of the head is lost, and the write may have been
+// applied, delayed or lost. In each row the change must be reported as accepted
+// and result in exactly one new version.
+TEST(ConfigurationStore, LostAnswerIsResolvedAndChangeAppliedOnce)
 {
   const std::vector<std::vector<WriteFault>> rows = {
     { WriteFault::LostAnswer },
@@ -232,24 +233,25 @@
   Operator ana(mPlatform, "ana", 1);
   std::uint64_t version = 1;
   for (const auto& it : rows) {
-    FailHead(it);
+    FailHeadWrites(it);
     int slots = static_cast<int>(10 + version);
     auto done = ana.Change(SetSlots("desk", slots));
     CHECK_TRUE(done.has_value());
     auto now = ana.Now();
     LONGS_EQUAL(++version, now.mVersion);
     LONGS_EQUAL(slots, Find(now, "desk").mSlotsPerHost);
-    CHECK_TRUE(EveryPartIsThere());
+    CHECK_TRUE(HasAllParts());
   }
 }
 
-// As above, but another operator's version replaces ours before we read back.
-// The head's nonce is theirs, and only the history shows that ours went in.
-TEST(ConfigurationStore, ALostAnswerIsSettledAfterASuccessor)
+// As above, but another operator's version replaces the head before it is read
+// back. The head then has the other nonce, and only the history shows that the
+// write was accepted.
+TEST(ConfigurationStore, LostAnswerIsResolvedFromHistory)
 {
   Operator ana(mPlatform, "ana", 1);
   Operator ben(mPlatform, "ben", 2);
-  FailHead({ WriteFault::LostAnswer });
+  FailHeadWrites({ WriteFault::LostAnswer });
   bool raced = false;
   mPlatform.mBefore = [&](const std::string& aKey) {
     bool written = mPlatform.mObjects.at("config/head").mVersion > 3;
@@ -266,34 +268,34 @@
   LONGS_EQUAL(3, ana.Now().mVersion);
 }
 
-// The guard off: the lost answer is taken for a lost race, and the loser's
-// parts are removed while they are in force.
-TEST(ConfigurationStore, WithoutSettlingALostAnswerBreaksTheVersionInForce)
+// Without the guard a lost answer is treated as a lost race, and the parts of
+// the version in force are removed.
+TEST(ConfigurationStore, WithoutReadBackLostAnswerRemovesPartsInForce)
 {
   ConfigurationStore::Options options;
   options.mSettleLostAnswers = false;
   Operator ana(mPlatform, "ana", 1, options);
-  FailHead({ WriteFault::LostAnswer });
+  FailHeadWrites({ WriteFault::LostAnswer });
   auto done = ana.Change(SetSlots("desk", 5));
   CHECK_FALSE(done.has_value());
-  CHECK_FALSE(EveryPartIsThere());
+  CHECK_FALSE(HasAllParts());
 }
 
-TEST(ConfigurationStore, SaysSoWhenTheOutcomeStaysUnknown)
+TEST(ConfigurationStore, ReportsUnknownOutcomeAsTimeout)
 {
   Operator ana(mPlatform, "ana", 1);
-  FailHead(std::vector<WriteFault>(50, WriteFault::LostRequest));
+  FailHeadWrites(std::vector<WriteFault>(50, WriteFault::LostRequest));
   auto done = ana.Change(SetSlots("desk", 5));
   CHECK_TRUE(done.error().mKind == ErrorKind::Timeout);
-  FailHead(std::vector<WriteFault>(50, WriteFault::Refused));
+  FailHeadWrites(std::vector<WriteFault>(50, WriteFault::Refused));
   done = ana.Change(SetSlots("desk", 5));
   CHECK_TRUE(done.error().mKind == ErrorKind::Unavailable);
   LONGS_EQUAL(1, ana.Now().mVersion);
 }
 
-// A replica that lags serves the head before the newest. An operator who has
-// seen version 2 must not be shown version 1 again.
-TEST(ConfigurationStore, AStaleReadIsNotTaken)
+// A lagging replica returns the head before the newest. An operator who has
+// read version 2 must not get version 1 from a later read.
+TEST(ConfigurationStore, StaleReadIsRefused)
 {
   for (bool guard : { true, false }) {
     ConfigurationStore::Options options;
@@ -307,18 +309,19 @@
   }
 }
 
-// Many versions, some by writers that died before they replaced the head: what
-// no kept version needs goes away, and each kept version reads whole.
-TEST(ConfigurationStore, GarbageGoesAndKeptVersionsReadWhole)
+// Some of many versions come from writers that died before they replaced the
+// head. Objects that no retained version needs are removed, and each retained
+// version can still be read.
+TEST(ConfigurationStore, GarbageIsRemovedAndRetainedVersionsStayReadable)
 {
   ConfigurationStore::Options options;
-  options.mHistory = 8;
+  options.mHistoryLength = 8;
   Operator ana(mPlatform, "ana", 1, options);
   for (int i = 0; i < 80; ++i) {
     if (i % 10 == 3) {
-      FailHead(std::vector<WriteFault>(50, WriteFault::Refused));
+      FailHeadWrites(std::vector<WriteFault>(50, WriteFault::Refused));
       CHECK_FALSE(ana.Change(SetSlots("desk", 999)));
-      FailHead({});
+      FailHeadWrites({});
     }
     CHECK_TRUE(ana.Change(SetSlots("desk", 3 + i)));
   }
@@ -328,7 +331,7 @@
     CHECK_TRUE(ana.mStore.ReadVersion(version).has_value());
   }
   CHECK_FALSE(ana.mStore.ReadVersion(newest - 9).has_value());
-  // Head, 8 of history, one general part and 9 service parts, and the orphans
-  // since version 64.
+  // The head, 8 history entries, one general part, 9 service parts, and the
+  // orphans since the scan at version 64.
   CHECK_TRUE(mPlatform.mObjects.size() <= 1 + 8 + 1 + 9 + 2);
 }
--- a/tests/InForceRelayTest.cpp
+++ b/tests/InForceRelayTest.cpp
@@ -22,9 +22,9 @@
 
 TEST_GROUP(InForceRelay){};
 
-// Two threads each took a version out of the distribution, and the one with the
-// older comes to hand it on last.
-TEST(InForceRelay, AVersionThatComesLateIsDropped)
+// Two threads each hold a version taken from ConfigDistribution, and the thread
+// with the older version delivers it last.
+TEST(InForceRelay, OlderVersionDeliveredLateIsDropped)
 {
   std::vector<std::uint64_t> seen;
   InForceRelay relay([&](const ConfigurationPtr& aConfiguration) {
@@ -36,12 +36,12 @@
   CHECK_TRUE(seen == (std::vector<std::uint64_t>{ 4, 6, 7 }));
 }
 
-TEST(InForceRelay, ThreadsSeeOnlyRisingVersions)
+TEST(InForceRelay, ConcurrentDeliveriesPassOnIncreasingVersions)
 {
   std::uint64_t last = 0;
-  std::uint64_t falls = 0;
+  std::uint64_t decreases = 0;
   InForceRelay relay([&](const ConfigurationPtr& aConfiguration) {
-    falls += aConfiguration->mVersion <= last ? 1 : 0;
+    decreases += aConfiguration->mVersion <= last ? 1 : 0;
     last = aConfiguration->mVersion;
   });
   std::atomic<std::uint64_t> next{ 0 };
@@ -57,6 +57,6 @@
   for (auto& it : threads) {
     it.join();
   }
-  LONGS_EQUAL(0, falls);
+  LONGS_EQUAL(0, decreases);
   LONGS_EQUAL(8000, last);
 }
