--- a/src/config/AgentConfiguration.h
+++ b/src/config/AgentConfiguration.h
@@ -19,8 +19,7 @@
   struct Options
   {
     ServiceId mService;
-    /** Interval between requests to each balancer; a request recovers a push
-     * that was lost. */
+    /** Interval of requests to each balancer, which recover lost pushes. */
     Duration mRequestInterval = std::chrono::seconds(1);
     /** Guard: refuses older versions. */
     bool mRefuseOlder = true;
@@ -34,8 +33,7 @@
   void OnConnected(HostId aBalancer, Time aNow);
   void OnDisconnected(HostId aBalancer);
 
-  /** Handles a balancer's ConfigOffer or ConfigObjects; ignores other
-   * messages. */
+  /** Handles a ConfigOffer or ConfigObjects; ignores other messages. */
   void OnMessage(HostId aFrom, const ConfigMessage& aMessage, Time aNow);
 
   /** Sends the requests that are due; to be called every 0.1 to 0.5 s. */
@@ -44,8 +42,7 @@
   /** Returns the actions added since the last call, in order. */
   std::vector<ConfigAction> TakeActions();
 
-  /** The configuration in force, reduced to this service; null before the
-   * first version. */
+  /** The configuration in force, with this service only; null if none. */
   const ConfigurationPtr& InForce() const { return mInForce; }
   std::uint64_t Version() const { return mInForce ? mInForce->mVersion : 0; }
   const ConfigCounters& Counters() const { return mCounters; }
--- a/src/config/ConfigDistribution.cpp
+++ b/src/config/ConfigDistribution.cpp
@@ -7,11 +7,9 @@
 
 namespace {
 
-/** Bounds the memory that invalid heads from a faulty or hostile sender take.
- */
+/** Bounds the memory that invalid heads from a hostile sender take. */
 constexpr std::size_t kMaxRefusedRoots = 64;
-/** Maximum parts in one request; the rest is requested when these have
- * arrived. */
+/** Maximum parts in one request; the rest is requested afterwards. */
 constexpr std::size_t kMaxRequestedParts = 1024;
 
 } // namespace
--- a/src/config/ConfigDistribution.h
+++ b/src/config/ConfigDistribution.h
@@ -51,8 +51,7 @@
      * the platform: by then it has them from the first watcher, unless that
      * one died. Without the delay each change costs three times the reads. */
     Duration mFetchDelayPerRank = std::chrono::milliseconds(300);
-    /** Maximum bytes of parts in one message; the receiver requests the rest
-     * again. */
+    /** Maximum bytes of parts in one message; the rest is requested again. */
     std::size_t mMaxMessageBytes = std::size_t{ 256 } * 1024;
     ConfigPlatform::Options mPlatform;
     /** Guards; off only in tests that show the failure each one prevents. */
@@ -120,8 +119,7 @@
   HostId mRequestedFrom;
   std::uint64_t mRequestedVersion = 0;
   Time mRequestedAt{};
-  /** Hashes of heads that failed validation; they are not transferred again.
-   */
+  /** Hashes of heads that failed validation, not to be transferred again. */
   std::set<PartHash> mRefusedRoots;
   Time mDigestAt{};
   /** When this watcher may read the parts of mTarget from the platform. */
--- a/src/config/ConfigMessages.h
+++ b/src/config/ConfigMessages.h
@@ -10,8 +10,7 @@
 
 namespace heatherplank {
 
-/** A part that differs from the previous version, and its index in the head.
- */
+/** A part that differs from the previous version, with its index. */
 struct PartChange
 {
   std::uint32_t mIndex = 0;
@@ -58,8 +57,7 @@
 struct ConfigObjects
 {
   std::uint64_t mVersion = 0;
-  /** The text of a head or, for an agent, the entry of its service; may be
-   * empty. */
+  /** A head's text or, for an agent, its service's entry; may be empty. */
   std::string mText;
   std::vector<std::string> mParts;
 
--- a/src/config/ConfigPeers.h
+++ b/src/config/ConfigPeers.h
@@ -30,8 +30,7 @@
    * aFanout the number of children per tree. */
   ConfigPeers(ConfigPeer aSelf, std::size_t aWatchers, std::size_t aFanout);
 
-  /** Sets the balancers believed to be alive; this balancer may be included or
-   * not. */
+  /** Sets the balancers believed to be alive, with or without this one. */
   void Set(std::span<const ConfigPeer> aPeers);
 
   /** True if this balancer is a watcher of its data centre, one of the first by
--- a/src/config/ConfigPlatform.h
+++ b/src/config/ConfigPlatform.h
@@ -29,8 +29,8 @@
     double mBurst = 64;
     std::size_t mMaxConcurrentFetches = 8;
     Duration mInitialBackoff = std::chrono::milliseconds(200);
-    /** After an outage all watchers have called again within this time, at
-     * random moments. */
+    /** After an outage all watchers retry within this time, at random moments.
+     */
     Duration mMaxBackoff = std::chrono::seconds(10);
     /** Guard: draws each pause at random instead of using a fixed one. */
     bool mJitter = true;
@@ -64,8 +64,7 @@
   bool mIsWatching = false;
   std::set<PartHash> mFetchesInFlight;
   Time mPausedUntil{};
-  /** The head object's version as last read; the watch waits for a higher one.
-   */
+  /** Last read version of the head object; the watch starts after it. */
   std::uint64_t mHeadObjectVersion = 0;
   std::uint64_t mCalls = 0;
   std::uint64_t mFailures = 0;
--- a/src/config/ConfigSubscribers.h
+++ b/src/config/ConfigSubscribers.h
@@ -47,8 +47,7 @@
   struct Agent
   {
     ServiceId mService;
-    /** Hash of the entry that was last sent to the agent or that it reported.
-     */
+    /** Hash of the entry last sent to the agent or reported by it. */
     PartHash mEntry;
   };
 
--- a/src/config/ConfigTransfer.h
+++ b/src/config/ConfigTransfer.h
@@ -42,8 +42,7 @@
   /** Assembles and validates the configuration. Precondition: IsComplete(). */
   Result<ConfigurationPtr> Assemble(ConfigurationAssembler& aAssembler) const;
 
-  /** Makes an offer of this version, with the changes from aBase if they are
-   * few. */
+  /** Makes an offer of this version, with the changes from aBase if few. */
   ConfigOffer MakeOffer(const ConfigTransfer& aBase) const;
 
   /** Applies an offer's changes to this head; none if the offer has another
--- a/src/config/ConfigurationHead.h
+++ b/src/config/ConfigurationHead.h
@@ -24,8 +24,7 @@
 /** Thread safe. */
 PartHash HashPart(std::string_view aBytes);
 
-/** Identifies a part by the hash of its content and the write that stored it.
- */
+/** Identifies a part by its content's hash and the write that stored it. */
 struct PartRef
 {
   PartHash mHash;
@@ -48,8 +47,7 @@
   std::string mAuthor;
   /** Time of the write, milliseconds since the Unix epoch. */
   std::int64_t mTimeMs = 0;
-  /** Unique to the write; after a lost answer it shows which write is in the
-   * store. */
+  /** Unique to the write; identifies the stored write after a lost answer. */
   std::uint64_t mNonce = 0;
   /** The first part holds everything except the services. Each service is in
    * one of the other parts, at its id modulo their number. */
--- a/src/config/ConfigurationParser.cpp
+++ b/src/config/ConfigurationParser.cpp
@@ -24,14 +24,12 @@
 constexpr std::int64_t kMaxDeadlineMs = 600000;
 constexpr std::int64_t kMaxQueue = 1000000;
 constexpr double kMaxScoreWeight = 1000;
-/** Keeps the canonical JSON of a service well below the size of a part object.
- */
+/** Keeps a service's canonical JSON well below the size of a part object. */
 constexpr std::size_t kMaxHostsPerService = 4000;
 constexpr std::size_t kMaxNameBytes = 63;
 constexpr std::int64_t kMaxVersion = std::numeric_limits<std::int64_t>::max();
 
-/** Names are used in URLs, metric labels and keys, which limits their
- * characters. */
+/** Restricts names to characters safe in URLs, metric labels and keys. */
 bool IsPlainName(std::string_view aName)
 {
   return aName.size() <= kMaxNameBytes &&
@@ -42,8 +40,7 @@
          });
 }
 
-/** Reads one document and checks that names, hosts and addresses are unique in
- * it. */
+/** Reads one document and checks that its names and addresses are unique. */
 class ConfigurationReader
 {
 public:
--- a/src/config/ConfigurationParts.cpp
+++ b/src/config/ConfigurationParts.cpp
@@ -19,8 +19,8 @@
  * two are of similar size. */
 constexpr std::size_t kServicesPerPart = 16;
 constexpr std::size_t kMaxParts = 4096;
-/** All parts are made again if their number is off the best one by more than
- * this factor. */
+/** All parts are rebuilt if the best number differs by more than this factor.
+ */
 constexpr std::size_t kMaxPartCountRatio = 4;
 
 std::string SerializeServices(const std::vector<const Service*>& aServices)
--- a/src/config/ConfigurationStore.h
+++ b/src/config/ConfigurationStore.h
@@ -63,8 +63,7 @@
      * day, 64 versions cover 18 minutes; a slow reader needs a few seconds to
      * read the parts of its head. */
     std::uint64_t mHistoryLength = 64;
-    /** Guard: after a lost answer, reads the head back and compares the nonce.
-     */
+    /** Guard: after a lost answer, reads the head and compares the nonce. */
     bool mSettleLostAnswers = true;
     /** Guard: refuses a head that is older than one read before. */
     bool mRefuseStaleReads = true;
--- a/src/config/InForceRelay.h
+++ b/src/config/InForceRelay.h
@@ -18,8 +18,7 @@
   /** aOnChange is called under the relay's lock and must not call the relay. */
   explicit InForceRelay(OnChange aOnChange);
 
-  /** Passes on a configuration, unless the same or a higher version was passed
-   * on before. */
+  /** Passes on a configuration if its version is the highest so far. */
   void Deliver(const ConfigurationPtr& aConfiguration);
 
 private:
--- a/tests/ConfigDistributionTest.cpp
+++ b/tests/ConfigDistributionTest.cpp
@@ -16,8 +16,7 @@
 
 using Options = ConfigWorld::Options;
 
-/** Publishes a version and returns the time until it is in force on the last
- * node. */
+/** Publishes a version; returns the time until it is in force on all nodes. */
 Duration PublishAndWait(ConfigWorld& aWorld, int aSlots)
 {
   Time accepted = aWorld.mNow;
