--- a/src/config/AgentConfiguration.cpp
+++ b/src/config/AgentConfiguration.cpp
@@ -54,7 +54,7 @@
 /** A balancer that was isolated or suspended still pushes its version when it
  * resumes. Adopting that version would end a drain or restore a removed rule on
  * this host, so a lower version is refused. */
-bool AgentConfiguration::IsNewer(std::uint64_t aVersion)
+bool AgentConfiguration::ShouldAdopt(std::uint64_t aVersion)
 {
   if (aVersion > Version() ||
       (!mOptions.mRefuseOlder && aVersion != Version())) {
@@ -66,7 +66,7 @@
 
 void AgentConfiguration::Handle(HostId aFrom, const ConfigOffer& aOffer)
 {
-  if (!IsNewer(aOffer.mVersion)) {
+  if (!ShouldAdopt(aOffer.mVersion)) {
     return;
   }
   if (!mInForce || aOffer.mRoot != mEntry) {
@@ -80,7 +80,7 @@
 
 void AgentConfiguration::Handle(HostId, const ConfigObjects& aObjects)
 {
-  if (!IsNewer(aObjects.mVersion)) {
+  if (!ShouldAdopt(aObjects.mVersion)) {
     return;
   }
   JsonFaults faults("entry");
--- a/src/config/AgentConfiguration.h
+++ b/src/config/AgentConfiguration.h
@@ -58,7 +58,7 @@
   void Handle(HostId aFrom, const ConfigOffer& aOffer);
   void Handle(HostId aFrom, const ConfigObjects& aObjects);
   void Handle(HostId, const ConfigRequest&) {}
-  bool IsNewer(std::uint64_t aVersion);
+  bool ShouldAdopt(std::uint64_t aVersion);
   void PutInForce(ConfigurationPtr aConfiguration, const PartHash& aEntry);
 
   Options mOptions;
