--- a/src/net/ControlClient.cpp
+++ b/src/net/ControlClient.cpp
@@ -17,10 +17,11 @@
 
 namespace {
 
-constexpr auto kFirstBackOff = std::chrono::milliseconds(50);
-constexpr auto kLongestBackOff = std::chrono::milliseconds(500);
-/** How often a cut that an experiment ordered is looked for. */
-constexpr auto kCutPoll = std::chrono::milliseconds(100);
+constexpr auto kInitialBackoff = std::chrono::milliseconds(50);
+constexpr auto kMaxBackoff = std::chrono::milliseconds(500);
+/** Interval at which a client of a blocked peer checks whether it may connect.
+ */
+constexpr auto kCutPollInterval = std::chrono::milliseconds(100);
 
 } // namespace
 
@@ -46,12 +47,12 @@
   const CutList* mCuts;
   Events mEvents;
   std::minstd_rand mRandom;
-  Duration mBackOff = kFirstBackOff;
+  Duration mBackoff = kInitialBackoff;
   std::unique_ptr<tcp::socket> mConnecting;
   mutable std::mutex mLock;
   ControlConnection::Ptr mConnection;
-  std::uint64_t mPastSent = 0;
-  std::uint64_t mPastReceived = 0;
+  std::uint64_t mClosedBytesSent = 0;
+  std::uint64_t mClosedBytesReceived = 0;
   bool mStopped = false;
 
   bool IsCut() const { return mCuts != nullptr && mCuts->IsCut(mPeer); }
@@ -62,7 +63,7 @@
       return;
     }
     if (IsCut()) {
-      Later(aSelf, kCutPoll);
+      ScheduleConnect(aSelf, kCutPollInterval);
       return;
     }
     mConnecting = std::make_unique<tcp::socket>(mStrand);
@@ -72,7 +73,7 @@
                                    return;
                                  }
                                  if (aEc) {
-                                   Later(aSelf, NextBackOff());
+                                   ScheduleConnect(aSelf, NextBackoff());
                                    return;
                                  }
                                  OnConnected(aSelf);
@@ -81,9 +82,9 @@
 
   void OnConnected(const std::shared_ptr<ControlClient>& aSelf)
   {
-    mBackOff = kFirstBackOff;
-    // Weak, since the client holds its connection: were each to hold the other,
-    // neither would be freed when the process ends while connected.
+    mBackoff = kInitialBackoff;
+    // Weak, since the client owns its connection: a reference cycle would leak
+    // both when the process ends while connected.
     std::weak_ptr<ControlClient> weak = aSelf;
     ControlConnection::Events events;
     events.mFrame = [weak](const ControlConnection::Ptr& aConnection,
@@ -123,16 +124,17 @@
     {
       std::lock_guard lock(mLock);
       mConnection.reset();
-      mPastSent += aConnection->BytesSent();
-      mPastReceived += aConnection->BytesReceived();
+      mClosedBytesSent += aConnection->BytesSent();
+      mClosedBytesReceived += aConnection->BytesReceived();
     }
     if (mEvents.mDisconnected) {
       mEvents.mDisconnected();
     }
-    Later(aSelf, NextBackOff());
+    ScheduleConnect(aSelf, NextBackoff());
   }
 
-  void Later(const std::shared_ptr<ControlClient>& aSelf, Duration aDelay)
+  void ScheduleConnect(const std::shared_ptr<ControlClient>& aSelf,
+                       Duration aDelay)
   {
     if (mStopped) {
       return;
@@ -145,11 +147,12 @@
     });
   }
 
-  /** Between half and the whole of a delay that doubles. */
-  Duration NextBackOff()
+  /** Returns a random delay between half of the back-off and all of it, and
+   * doubles the back-off. */
+  Duration NextBackoff()
   {
-    auto half = mBackOff / 2;
-    mBackOff = std::min<Duration>(mBackOff * 2, kLongestBackOff);
+    auto half = mBackoff / 2;
+    mBackoff = std::min<Duration>(mBackoff * 2, kMaxBackoff);
     return half + Duration(static_cast<Duration::rep>(
                     mRandom() % static_cast<std::uint64_t>(half.count())));
   }
@@ -216,14 +219,14 @@
 std::uint64_t ControlClient::BytesSent() const
 {
   std::lock_guard lock(mImpl->mLock);
-  return mImpl->mPastSent +
+  return mImpl->mClosedBytesSent +
          (mImpl->mConnection ? mImpl->mConnection->BytesSent() : 0);
 }
 
 std::uint64_t ControlClient::BytesReceived() const
 {
   std::lock_guard lock(mImpl->mLock);
-  return mImpl->mPastReceived +
+  return mImpl->mClosedBytesReceived +
          (mImpl->mConnection ? mImpl->mConnection->BytesReceived() : 0);
 }
 
--- a/src/net/ControlClient.h
+++ b/src/net/ControlClient.h
@@ -12,15 +12,15 @@
 
 class CutList;
 
-/** Keeps a control connection to one peer: connects, and again after it broke,
- * with back-off and jitter so that a peer's restart meets no stampede.
+/** Maintains a control connection to one peer. Reconnects with back-off and
+ * jitter, so that a restarted peer does not receive all connections at once.
  */
 class ControlClient : public std::enable_shared_from_this<ControlClient>
 {
 public:
   struct Events
   {
-    /** A connection stands; send what the peer must know first. */
+    /** Called when connected; messages sent here precede all others. */
     std::function<void(const ControlConnection::Ptr&)> mConnected;
     std::function<void(const ControlConnection::Ptr&, const Frame&)> mFrame;
     std::function<void()> mDisconnected;
@@ -33,18 +33,18 @@
 
   ~ControlClient();
 
-  /** Sends a frame if connected, else drops it and gives false. Thread safe.
-   */
+  /** Sends a frame, or drops it and returns false if not connected. Thread
+   * safe. */
   bool Send(MessageKind aKind, ByteView aPayload);
 
   bool IsConnected() const;
   const Address& Peer() const;
 
-  /** Closes after what was sent is written, and connects no more. Thread
-   * safe. */
+  /** Closes the connection after the frames sent so far are written, and does
+   * not reconnect. Thread safe. */
   void Stop();
 
-  /** Bytes sent and received by all its connections. Thread safe. */
+  /** Bytes over this client's past and present connections. Thread safe. */
   std::uint64_t BytesSent() const;
   std::uint64_t BytesReceived() const;
 
--- a/src/net/ControlConnection.cpp
+++ b/src/net/ControlConnection.cpp
@@ -30,7 +30,7 @@
   FrameDecoder mDecoder;
   std::array<std::uint8_t, 16384> mBuffer{};
   std::deque<Bytes> mQueue;
-  std::size_t mQueued = 0;
+  std::size_t mQueuedBytes = 0;
   bool mWriting = false;
   bool mClosing = false;
   bool mClosed = false;
@@ -43,25 +43,25 @@
       asio::buffer(mBuffer),
       [aSelf, this](boost::system::error_code aEc, std::size_t aCount) {
         if (aEc) {
-          End(aSelf, { ErrorKind::Unavailable, aEc.message(), "" });
+          CloseWith(aSelf, { ErrorKind::Unavailable, aEc.message(), "" });
           return;
         }
         mBytesReceived += aCount;
         mDecoder.Feed(ByteView(mBuffer.data(), aCount));
-        TakeFrames(aSelf);
+        DispatchFrames(aSelf);
       });
   }
 
-  void TakeFrames(const Ptr& aSelf)
+  void DispatchFrames(const Ptr& aSelf)
   {
     while (!mClosed) {
       Frame frame;
-      auto next = mDecoder.Next(frame);
-      if (!next) {
-        End(aSelf, next.error());
+      auto decoded = mDecoder.Next(frame);
+      if (!decoded) {
+        CloseWith(aSelf, decoded.error());
         return;
       }
-      if (!*next) {
+      if (!*decoded) {
         Read(aSelf);
         return;
       }
@@ -74,11 +74,11 @@
     if (mClosed || mClosing) {
       return;
     }
-    mQueued += aFrame.size();
+    mQueuedBytes += aFrame.size();
     mQueue.push_back(std::move(aFrame));
-    if (mQueued > kMaxQueued) {
-      End(aSelf, { ErrorKind::TooLarge, "peer reads too slowly",
-                   "look at the peer's load" });
+    if (mQueuedBytes > kMaxQueuedBytes) {
+      CloseWith(aSelf, { ErrorKind::TooLarge, "the peer reads too slowly",
+                         "check the peer's load" });
       return;
     }
     WriteNext(aSelf);
@@ -91,7 +91,7 @@
     }
     if (mQueue.empty()) {
       if (mClosing) {
-        End(aSelf, { ErrorKind::Unavailable, "closed by this side", "" });
+        CloseWith(aSelf, { ErrorKind::Unavailable, "closed by this side", "" });
       }
       return;
     }
@@ -104,17 +104,17 @@
           return;
         }
         if (aEc) {
-          End(aSelf, { ErrorKind::Unavailable, aEc.message(), "" });
+          CloseWith(aSelf, { ErrorKind::Unavailable, aEc.message(), "" });
           return;
         }
         mBytesSent += aCount;
-        mQueued -= mQueue.front().size();
+        mQueuedBytes -= mQueue.front().size();
         mQueue.pop_front();
         WriteNext(aSelf);
       });
   }
 
-  void End(const Ptr& aSelf, const Error& aWhy)
+  void CloseWith(const Ptr& aSelf, const Error& aReason)
   {
     if (mClosed) {
       return;
@@ -123,7 +123,7 @@
     boost::system::error_code ec;
     mSocket.close(ec);
     if (mEvents.mClosed) {
-      mEvents.mClosed(aSelf, aWhy);
+      mEvents.mClosed(aSelf, aReason);
     }
   }
 };
--- a/src/net/ControlConnection.h
+++ b/src/net/ControlConnection.h
@@ -10,41 +10,41 @@
 
 namespace heatherplank {
 
-/** A TCP connection between two of our processes that carries frames. */
+/** A TCP connection between two heatherplank processes that carries frames. */
 class ControlConnection : public std::enable_shared_from_this<ControlConnection>
 {
 public:
   using Ptr = std::shared_ptr<ControlConnection>;
 
-  /** What the holder of a connection hears; one call at a time, on the
-   * connection's executor. */
+  /** Callbacks, called one at a time on the connection's executor. */
   struct Events
   {
-    /** A whole frame; its payload is valid during the call. */
+    /** Called for each frame; its payload is valid during the call. */
     std::function<void(const Ptr&, const Frame&)> mFrame;
-    /** The connection ended; none of the others follow. The error is
-     * Malformed or TooLarge if the peer's bytes were refused. */
+    /** Called last, when the connection has ended. The error is Malformed or
+     * TooLarge if the peer's bytes were rejected. */
     std::function<void(const Ptr&, const Error&)> mClosed;
   };
 
-  /** Bytes that may wait for a slow peer; beyond it the connection is closed,
-   * since a peer that reads nothing would otherwise take the memory. */
-  static constexpr std::size_t kMaxQueued = std::size_t{ 8 } * 1024 * 1024;
+  /** Bytes that may be queued for a slow peer. Above it the connection is
+   * closed, since a peer that reads nothing would exhaust the memory. */
+  static constexpr std::size_t kMaxQueuedBytes = std::size_t{ 8 } * 1024 * 1024;
 
   ControlConnection(boost::asio::ip::tcp::socket aSocket, Events aEvents);
   ~ControlConnection();
 
-  /** Begins to read. Precondition: called once, the socket is connected and
+  /** Starts reading. Preconditions: called once, the socket is connected and
    * its executor is a strand. */
   void Start();
 
-  /** Sends a frame in order. Thread safe. */
+  /** Queues a frame; frames are sent in order. Thread safe. */
   void Send(MessageKind aKind, ByteView aPayload);
 
-  /** Closes after what was sent so far is written. Thread safe. */
+  /** Closes the connection after the queued frames are written. Thread safe.
+   */
   void Close();
 
-  /** The peer's address of this connection. */
+  /** The peer's address. */
   Address Remote() const;
 
   /** Bytes sent and received so far. Thread safe. */
--- a/src/net/ControlServer.cpp
+++ b/src/net/ControlServer.cpp
@@ -68,9 +68,9 @@
   }
   if (ec) {
     return Fail(ErrorKind::System,
-                "can't take control connections at " + aListen.ToString() +
-                  ": " + ec.message(),
-                "free the port or set another one in the settings");
+                "can't listen for control connections at " +
+                  aListen.ToString() + ": " + ec.message(),
+                "free the port or change it in the settings");
   }
   std::shared_ptr<ControlServer> server(new ControlServer(std::move(impl)));
   server->mImpl->Accept(server);
--- a/src/net/ControlServer.h
+++ b/src/net/ControlServer.h
@@ -9,11 +9,12 @@
 
 namespace heatherplank {
 
-/** Takes control connections from our other processes. */
+/** Accepts control connections from other heatherplank processes. */
 class ControlServer : public std::enable_shared_from_this<ControlServer>
 {
 public:
-  /** Binds at once; port 0 takes a free one. System if it can't be bound. */
+  /** Binds and listens; port 0 selects a free port. Fails with System if
+   * aListen can't be bound. */
   static Result<std::shared_ptr<ControlServer>> Make(
     const boost::asio::any_io_executor& aExecutor, const Address& aListen,
     ControlConnection::Events aEvents);
@@ -22,7 +23,7 @@
 
   Address Local() const;
 
-  /** Takes no new connection; the present ones go on. Thread safe. */
+  /** Stops accepting; open connections remain. Thread safe. */
   void Stop();
 
 private:
--- a/src/net/CutList.h
+++ b/src/net/CutList.h
@@ -9,9 +9,9 @@
 
 namespace heatherplank {
 
-/** Addresses that this process acts as if it could not reach, for experiments
- * with partitions (--fault_injection). Empty in production, and then a check
- * costs one relaxed load. Thread safe.
+/** Addresses that this process treats as unreachable, to simulate network
+ * partitions (--fault_injection). Empty in production, where a check costs one
+ * relaxed load. Thread safe.
  */
 class CutList
 {
--- a/src/net/DatagramSocket.cpp
+++ b/src/net/DatagramSocket.cpp
@@ -19,11 +19,11 @@
 
 namespace {
 
-constexpr std::size_t kMaxDatagram = 65536;
-/** A burst of a few thousand datagrams fits while the thread is busy. */
-constexpr int kReceiveBuffer = 4 * 1024 * 1024;
-/** Datagrams taken before the other work of the thread has its turn. */
-constexpr int kBatch = 64;
+constexpr std::size_t kMaxDatagramSize = 65536;
+/** Holds a burst of a few thousand datagrams while the thread is busy. */
+constexpr int kSocketBufferSize = 4 * 1024 * 1024;
+/** Datagrams read before the thread's other work may run. */
+constexpr int kMaxBatchSize = 64;
 
 } // namespace
 
@@ -40,7 +40,7 @@
   Handler mHandler;
   std::atomic<bool> mStopped{ false };
   int mDescriptor = -1;
-  alignas(8) std::array<std::uint8_t, kMaxDatagram> mBuffer{};
+  alignas(8) std::array<std::uint8_t, kMaxDatagramSize> mBuffer{};
 
   void Wait(const std::shared_ptr<DatagramSocket>& aSelf)
   {
@@ -56,7 +56,7 @@
 
   void ReceiveBatch()
   {
-    for (int i = 0; i < kBatch && !mStopped; ++i) {
+    for (int i = 0; i < kMaxBatchSize && !mStopped; ++i) {
       udp::endpoint from;
       boost::system::error_code ec;
       auto n = mSocket.receive_from(asio::buffer(mBuffer), from, 0, ec);
@@ -64,7 +64,7 @@
         return;
       }
       if (ec) {
-        // An ICMP refusal of something sent earlier; the socket is fine.
+        // An ICMP error for an earlier datagram; the socket remains usable.
         continue;
       }
       Address address = FromEndpoint(from);
@@ -96,14 +96,14 @@
   }
   if (ec) {
     return Fail(ErrorKind::System,
-                "can't take datagrams at " + aListen.ToString() + ": " +
+                "can't receive datagrams at " + aListen.ToString() + ": " +
                   ec.message(),
-                "free the port or set another one in the settings");
+                "free the port or change it in the settings");
   }
   boost::system::error_code ignored;
-  socket.set_option(asio::socket_base::receive_buffer_size(kReceiveBuffer),
+  socket.set_option(asio::socket_base::receive_buffer_size(kSocketBufferSize),
                     ignored);
-  socket.set_option(asio::socket_base::send_buffer_size(kReceiveBuffer),
+  socket.set_option(asio::socket_base::send_buffer_size(kSocketBufferSize),
                     ignored);
   socket.non_blocking(true, ignored);
   impl->mDescriptor = socket.native_handle();
@@ -126,8 +126,8 @@
   if (mImpl->mCuts != nullptr && mImpl->mCuts->IsCut(aTo)) {
     return false;
   }
-  // The descriptor itself, since an Asio socket may not be used by two
-  // threads at once and a datagram send needs no state of it.
+  // Uses the descriptor directly: an Asio socket must not be used by two
+  // threads at once, and a datagram send needs none of its state.
   auto to = ToEndpoint<udp>(aTo);
   auto n = ::sendto(mImpl->mDescriptor, aDatagram.data(), aDatagram.size(),
                     MSG_DONTWAIT, to.data(), static_cast<socklen_t>(to.size()));
--- a/src/net/DatagramSocket.h
+++ b/src/net/DatagramSocket.h
@@ -17,12 +17,12 @@
 class DatagramSocket : public std::enable_shared_from_this<DatagramSocket>
 {
 public:
-  /** Called for each datagram, one at a time; the view is valid during the
-   * call. */
+  /** Called for each datagram and its sender, one call at a time; the view is
+   * valid during the call. */
   using Handler = std::function<void(ByteView, const Address&)>;
 
-  /** Binds at once; port 0 takes a free one. System if it can't be bound.
-   * aCuts may be null; otherwise it must outlive the socket.
+  /** Binds; port 0 selects a free port. Fails with System if aListen can't be
+   * bound. aCuts may be null; otherwise it must outlive the socket.
    */
   static Result<std::shared_ptr<DatagramSocket>> Make(
     const boost::asio::any_io_executor& aExecutor, const Address& aListen,
@@ -30,21 +30,22 @@
 
   ~DatagramSocket();
 
-  /** Begins to receive. Precondition: called once. */
+  /** Starts receiving. Precondition: called once. */
   void Start(Handler aHandler);
 
-  /** Handles what has come and was not read yet. Call it on the executor's
-   * thread, not from the handler. */
+  /** Passes queued datagrams, up to one batch, to the handler. Must be called
+   * on the executor's thread and not from the handler. */
   void ReadNow();
 
-  /** Sends without waiting; false if the system took nothing (counted by the
-   * caller; UDP may lose datagrams anyway). Thread safe.
+  /** Sends without blocking; false if the system did not accept the datagram.
+   * The caller counts such failures; UDP may lose accepted datagrams as well.
+   * Thread safe.
    */
   bool Send(ByteView aDatagram, const Address& aTo);
 
   Address Local() const;
 
-  /** Receives nothing more. Thread safe. */
+  /** Stops receiving. Thread safe. */
   void Stop();
 
 private:
--- a/src/net/Endpoint.h
+++ b/src/net/Endpoint.h
@@ -8,7 +8,7 @@
 
 namespace heatherplank {
 
-/** An Asio endpoint of an address; an IPv4-mapped one becomes IPv4. */
+/** Converts an address to an Asio endpoint; IPv4-mapped IPv6 becomes IPv4. */
 template<typename Protocol>
 boost::asio::ip::basic_endpoint<Protocol> ToEndpoint(const Address& aAddress)
 {
@@ -20,7 +20,7 @@
   return { v6, aAddress.mPort };
 }
 
-/** The address of an Asio endpoint. */
+/** Converts an Asio endpoint to an address; IPv4 becomes IPv4-mapped IPv6. */
 template<typename Protocol>
 Address FromEndpoint(const boost::asio::ip::basic_endpoint<Protocol>& aEndpoint)
 {
@@ -35,8 +35,8 @@
   return out;
 }
 
-/** Reads "10.0.0.1:80" or "[::1]:80"; InvalidInput with the remedy if it is
- * neither. Thread safe.
+/** Parses an IP address and port, as "10.0.0.1:80" or "[::1]:80". Fails with
+ * InvalidInput. Thread safe.
  */
 Result<Address> ParseAddress(std::string_view aText);
 
--- a/src/net/HttpClient.cpp
+++ b/src/net/HttpClient.cpp
@@ -24,22 +24,22 @@
 
 constexpr std::size_t kMaxBody = std::size_t{ 4 } * 1024 * 1024;
 
-struct Job
+struct PendingRequest
 {
   HttpClient::Ticket mTicket = 0;
   HttpRequest mRequest;
   Time mDeadline;
   HttpClient::Done mDone;
-  /** Bytes may have left for the server. */
+  /** Bytes may have been sent to the server. */
   bool mWritten = false;
 };
 
-/** What the operations on one TCP connection refer to. Each handler holds it,
- * and another connection gets another one: after a cancellation the handlers
- * of the old operations are still to come, and would find its parts in use. */
-struct Wire
+/** The state that operations on one TCP connection use. Each handler shares
+ * ownership, and a new connection gets a new Transport: handlers of cancelled
+ * operations still run later and must not use the new connection's state. */
+struct Transport
 {
-  explicit Wire(const asio::any_io_executor& aExecutor)
+  explicit Transport(const asio::any_io_executor& aExecutor)
     : mStream(aExecutor)
   {
   }
@@ -55,15 +55,15 @@
 {
   explicit Connection(const asio::any_io_executor& aExecutor)
     : mTimer(aExecutor)
-    , mWire(std::make_shared<Wire>(aExecutor))
+    , mTransport(std::make_shared<Transport>(aExecutor))
   {
   }
 
   asio::steady_timer mTimer;
-  std::shared_ptr<Wire> mWire;
-  std::optional<Job> mJob;
-  /** Stands on every pending operation; a late one of an older job is
-   * dropped. */
+  std::shared_ptr<Transport> mTransport;
+  std::optional<PendingRequest> mActive;
+  /** Captured by every pending operation; a handler with an older generation
+   * belongs to a finished request and does nothing. */
   std::uint64_t mGeneration = 0;
 };
 
@@ -84,92 +84,93 @@
   asio::any_io_executor mStrand;
   asio::ip::tcp::endpoint mServer;
   std::vector<std::unique_ptr<Connection>> mConnections;
-  std::deque<Job> mWaiting;
+  std::deque<PendingRequest> mQueue;
   std::atomic<Ticket> mNextTicket{ 1 };
 
-  void Submit(Job aJob)
+  void Enqueue(PendingRequest aPending)
   {
-    mWaiting.push_back(std::move(aJob));
+    mQueue.push_back(std::move(aPending));
     StartIdle();
   }
 
   void StartIdle()
   {
-    DropLate();
+    FailExpired();
     for (auto& it : mConnections) {
-      if (mWaiting.empty()) {
+      if (mQueue.empty()) {
         return;
       }
-      if (!it->mJob) {
-        it->mJob = std::move(mWaiting.front());
-        mWaiting.pop_front();
-        Begin(*it);
+      if (!it->mActive) {
+        it->mActive = std::move(mQueue.front());
+        mQueue.pop_front();
+        Dispatch(*it);
       }
     }
   }
 
-  /** What waited past its deadline was never written. */
-  void DropLate()
+  /** Fails queued requests whose deadline has passed; they were not written. */
+  void FailExpired()
   {
     auto now = std::chrono::steady_clock::now();
-    while (!mWaiting.empty() && mWaiting.front().mDeadline <= now) {
-      Job job = std::move(mWaiting.front());
-      mWaiting.pop_front();
-      job.mDone(NotWritten("no free connection in time"));
+    while (!mQueue.empty() && mQueue.front().mDeadline <= now) {
+      PendingRequest pending = std::move(mQueue.front());
+      mQueue.pop_front();
+      pending.mDone(NotWritten("no connection became free in time"));
     }
   }
 
-  void Begin(Connection& aConnection)
+  void Dispatch(Connection& aConnection)
   {
     auto generation = ++aConnection.mGeneration;
-    aConnection.mTimer.expires_at(aConnection.mJob->mDeadline);
+    aConnection.mTimer.expires_at(aConnection.mActive->mDeadline);
     aConnection.mTimer.async_wait([self = shared_from_this(), &aConnection,
                                    generation](beast::error_code aEc) {
       if (!aEc && aConnection.mGeneration == generation) {
-        self->GiveUp(aConnection, "no answer in time");
+        self->Abort(aConnection, "no response in time");
       }
     });
-    auto wire = aConnection.mWire;
-    if (wire->mConnected && !ClosedByServer(*wire)) {
+    auto transport = aConnection.mTransport;
+    if (transport->mConnected && !ClosedByServer(*transport)) {
       Write(aConnection);
       return;
     }
-    wire = Renew(aConnection);
-    wire->mStream.async_connect(mServer,
-                                [self = shared_from_this(), &aConnection, wire,
-                                 generation](beast::error_code aEc) {
-                                  if (aConnection.mGeneration == generation) {
-                                    self->OnConnected(aConnection, aEc);
-                                  }
-                                });
+    transport = ResetTransport(aConnection);
+    transport->mStream.async_connect(
+      mServer, [self = shared_from_this(), &aConnection, transport,
+                generation](beast::error_code aEc) {
+        if (aConnection.mGeneration == generation) {
+          self->OnConnected(aConnection, aEc);
+        }
+      });
   }
 
   void OnConnected(Connection& aConnection, beast::error_code aEc)
   {
     if (aEc) {
-      Finish(aConnection, NotWritten(aEc.message()), false);
+      Complete(aConnection, NotWritten(aEc.message()), false);
       return;
     }
-    Wire& wire = *aConnection.mWire;
+    Transport& transport = *aConnection.mTransport;
     beast::error_code ec;
-    wire.mStream.socket().set_option(asio::ip::tcp::no_delay(true), ec);
-    wire.mConnected = true;
+    transport.mStream.socket().set_option(asio::ip::tcp::no_delay(true), ec);
+    transport.mConnected = true;
     Write(aConnection);
   }
 
-  std::shared_ptr<Wire> Renew(Connection& aConnection)
+  std::shared_ptr<Transport> ResetTransport(Connection& aConnection)
   {
-    aConnection.mWire->mStream.close();
-    aConnection.mWire = std::make_shared<Wire>(mStrand);
-    return aConnection.mWire;
+    aConnection.mTransport->mStream.close();
+    aConnection.mTransport = std::make_shared<Transport>(mStrand);
+    return aConnection.mTransport;
   }
 
-  /** A server may close an idle connection at any time. Written to it, a
-   * request would count as perhaps run although nobody read it; nothing may be
-   * waiting to be read on an idle connection, not even its end. */
-  static bool ClosedByServer(Wire& aWire)
+  /** Whether the server closed an idle connection, which it may do at any time.
+   * A request written to it would get the error Timeout (effect unknown)
+   * although no server read it. An idle connection that is still open has
+   * nothing to read, not even end of file. */
+  static bool ClosedByServer(Transport& aTransport)
   {
-    auto& socket = aWire.mStream.socket();
+    auto& socket = aTransport.mStream.socket();
     char byte = 0;
     beast::error_code ec;
     socket.non_blocking(true, ec);
@@ -180,17 +181,17 @@
   void Write(Connection& aConnection)
   {
     auto generation = aConnection.mGeneration;
-    auto wire = aConnection.mWire;
-    aConnection.mJob->mWritten = true;
-    wire->mRequest = std::move(aConnection.mJob->mRequest);
-    http::async_write(wire->mStream, wire->mRequest,
-                      [self = shared_from_this(), &aConnection, wire,
+    auto transport = aConnection.mTransport;
+    aConnection.mActive->mWritten = true;
+    transport->mRequest = std::move(aConnection.mActive->mRequest);
+    http::async_write(transport->mStream, transport->mRequest,
+                      [self = shared_from_this(), &aConnection, transport,
                        generation](beast::error_code aEc, std::size_t) {
                         if (aConnection.mGeneration != generation) {
                           return;
                         }
                         if (aEc) {
-                          self->GiveUp(aConnection, aEc.message());
+                          self->Abort(aConnection, aEc.message());
                           return;
                         }
                         self->Read(aConnection);
@@ -200,77 +201,80 @@
   void Read(Connection& aConnection)
   {
     auto generation = aConnection.mGeneration;
-    auto wire = aConnection.mWire;
-    wire->mParser.emplace();
-    wire->mParser->body_limit(kMaxBody);
-    http::async_read(wire->mStream, wire->mBuffer, *wire->mParser,
-                     [self = shared_from_this(), &aConnection, wire,
-                      generation](beast::error_code aEc, std::size_t) {
-                       if (aConnection.mGeneration != generation) {
-                         return;
-                       }
-                       if (aEc) {
-                         self->GiveUp(aConnection, aEc.message());
-                         return;
-                       }
-                       HttpResponse response = wire->mParser->release();
-                       bool keep = response.keep_alive();
-                       self->Finish(aConnection, std::move(response), keep);
-                     });
+    auto transport = aConnection.mTransport;
+    transport->mParser.emplace();
+    transport->mParser->body_limit(kMaxBody);
+    http::async_read(
+      transport->mStream, transport->mBuffer, *transport->mParser,
+      [self = shared_from_this(), &aConnection, transport,
+       generation](beast::error_code aEc, std::size_t) {
+        if (aConnection.mGeneration != generation) {
+          return;
+        }
+        if (aEc) {
+          self->Abort(aConnection, aEc.message());
+          return;
+        }
+        HttpResponse response = transport->mParser->release();
+        bool keepAlive = response.keep_alive();
+        self->Complete(aConnection, std::move(response), keepAlive);
+      });
   }
 
-  void GiveUp(Connection& aConnection, const std::string& aWhy)
+  void Abort(Connection& aConnection, const std::string& aReason)
   {
-    bool written = aConnection.mJob && aConnection.mJob->mWritten;
-    Finish(aConnection, written ? Unknown(aWhy) : NotWritten(aWhy), false);
+    bool written = aConnection.mActive && aConnection.mActive->mWritten;
+    Complete(aConnection,
+             written ? OutcomeUnknown(aReason) : NotWritten(aReason), false);
   }
 
-  void Finish(Connection& aConnection, Result<HttpResponse> aResult, bool aKeep)
+  void Complete(Connection& aConnection, Result<HttpResponse> aResult,
+                bool aKeepAlive)
   {
     ++aConnection.mGeneration;
     aConnection.mTimer.cancel();
-    if (!aKeep) {
-      Renew(aConnection);
+    if (!aKeepAlive) {
+      ResetTransport(aConnection);
     }
-    Job job = std::move(*aConnection.mJob);
-    aConnection.mJob.reset();
-    job.mDone(std::move(aResult));
+    PendingRequest pending = std::move(*aConnection.mActive);
+    aConnection.mActive.reset();
+    pending.mDone(std::move(aResult));
     StartIdle();
   }
 
   void CancelNow(Ticket aTicket)
   {
     for (auto& it : mConnections) {
-      if (it->mJob && it->mJob->mTicket == aTicket) {
-        GiveUp(*it, "cancelled");
+      if (it->mActive && it->mActive->mTicket == aTicket) {
+        Abort(*it, "cancelled");
         return;
       }
     }
-    for (auto it = mWaiting.begin(); it != mWaiting.end(); ++it) {
+    for (auto it = mQueue.begin(); it != mQueue.end(); ++it) {
       if (it->mTicket == aTicket) {
-        Job job = std::move(*it);
-        mWaiting.erase(it);
-        job.mDone(NotWritten("cancelled"));
+        PendingRequest pending = std::move(*it);
+        mQueue.erase(it);
+        pending.mDone(NotWritten("cancelled"));
         return;
       }
     }
   }
 
-  Result<HttpResponse> NotWritten(const std::string& aWhy) const
+  Result<HttpResponse> NotWritten(const std::string& aReason) const
   {
     return Fail(ErrorKind::Unavailable,
-                "no request went to " + FromEndpoint(mServer).ToString() +
-                  ": " + aWhy,
-                "check that the server runs there, then try again");
+                "no request was sent to " + FromEndpoint(mServer).ToString() +
+                  ": " + aReason,
+                "check that the server is running there, then retry");
   }
 
-  Result<HttpResponse> Unknown(const std::string& aWhy) const
+  Result<HttpResponse> OutcomeUnknown(const std::string& aReason) const
   {
     return Fail(ErrorKind::Timeout,
-                "no answer from " + FromEndpoint(mServer).ToString() + ": " +
-                  aWhy,
-                "the request may have taken effect; read back before trying "
-                "again");
+                "no response from " + FromEndpoint(mServer).ToString() + ": " +
+                  aReason,
+                "the request may have taken effect; read back before "
+                "retrying");
   }
 };
 
@@ -292,16 +296,17 @@
 HttpClient::Ticket HttpClient::Send(HttpRequest aRequest, Duration aTimeout,
                                     Done aDone)
 {
-  Job job;
-  job.mTicket = mImpl->mNextTicket++;
-  job.mRequest = std::move(aRequest);
-  job.mRequest.prepare_payload();
-  job.mDeadline = std::chrono::steady_clock::now() + aTimeout;
-  job.mDone = std::move(aDone);
-  auto ticket = job.mTicket;
-  asio::post(mImpl->mStrand, [impl = mImpl, job = std::move(job)]() mutable {
-    impl->Submit(std::move(job));
-  });
+  PendingRequest pending;
+  pending.mTicket = mImpl->mNextTicket++;
+  pending.mRequest = std::move(aRequest);
+  pending.mRequest.prepare_payload();
+  pending.mDeadline = std::chrono::steady_clock::now() + aTimeout;
+  pending.mDone = std::move(aDone);
+  auto ticket = pending.mTicket;
+  asio::post(mImpl->mStrand,
+             [impl = mImpl, pending = std::move(pending)]() mutable {
+               impl->Enqueue(std::move(pending));
+             });
   return ticket;
 }
 
--- a/src/net/HttpClient.h
+++ b/src/net/HttpClient.h
@@ -12,15 +12,16 @@
 
 namespace heatherplank {
 
-/** HTTP/1.1 requests to one server, over a few kept connections; more at once
- * wait their turn. Nothing is retried: whether an unanswered request may be
- * sent again is the caller's decision.
+/** Sends HTTP/1.1 requests to one server over a fixed number of keep-alive
+ * connections. Requests beyond that are queued. Nothing is retried: the caller
+ * decides whether a request without a response may be sent again.
  */
 class HttpClient : public std::enable_shared_from_this<HttpClient>
 {
 public:
-  /** Called once, on the client's executor. Unavailable: the request was never
-   * written. Timeout: it was or may have been written, its effect is unknown.
+  /** Called once, on the client's executor. Unavailable: the request was not
+   * written. Timeout: all or part of it may have been written, and its effect
+   * is unknown.
    */
   using Done = std::function<void(Result<HttpResponse>)>;
   /** Identifies a request for Cancel. */
@@ -32,14 +33,14 @@
 
   ~HttpClient();
 
-  /** Sends a request; the answer, or the failure after aTimeout, goes to
-   * aDone. Thread safe.
+  /** Sends a request. aDone receives the response, or an error at the latest
+   * after aTimeout. Thread safe.
    */
   Ticket Send(HttpRequest aRequest, Duration aTimeout, Done aDone);
 
-  /** Gives a request up: closes its connection, and aDone gets Timeout (or
-   * Unavailable if it was not written yet). Nothing happens if it is done.
-   * Thread safe.
+  /** Cancels a request: closes its connection, and its callback receives
+   * Timeout, or Unavailable if nothing was written. No effect on a completed
+   * request. Thread safe.
    */
   void Cancel(Ticket aTicket);
 
--- a/src/net/HttpServer.cpp
+++ b/src/net/HttpServer.cpp
@@ -22,19 +22,19 @@
 namespace {
 
 constexpr std::size_t kMaxHeader = 16384;
-/** A platform value of 1 MB and some room. */
+/** A platform value holds at most 1 MB; the rest is headroom. */
 constexpr std::size_t kMaxBody = std::size_t{ 2 } * 1024 * 1024;
 constexpr auto kIdleTimeout = std::chrono::seconds(90);
 
-/** One connection; lives as long as an operation on it. */
+/** One connection. Pending operations own it. */
 class Session : public std::enable_shared_from_this<Session>
 {
 public:
   Session(asio::ip::tcp::socket aSocket, HttpServer::Handler aHandler,
-          HttpServer::Refused aRefused)
+          HttpServer::OnMalformed aOnMalformed)
     : mStream(std::move(aSocket))
     , mHandler(std::move(aHandler))
-    , mRefused(std::move(aRefused))
+    , mOnMalformed(std::move(aOnMalformed))
   {
   }
 
@@ -44,12 +44,13 @@
                    [self = shared_from_this()] { self->Read(); });
   }
 
-  /** Ends the connection if no request is being answered. Any thread. */
+  /** Closes the connection now if it is idle, else after the current response.
+   * Thread safe. */
   void CloseIfIdle()
   {
     asio::post(mStream.get_executor(), [self = shared_from_this()] {
       self->mClosing = true;
-      if (!self->mAnswering) {
+      if (!self->mResponding) {
         self->Close();
       }
     });
@@ -72,10 +73,10 @@
   void OnRead(beast::error_code aEc)
   {
     if (aEc) {
-      RefuseIfMalformed(aEc);
+      RejectIfMalformed(aEc);
       return;
     }
-    mAnswering = true;
+    mResponding = true;
     mStream.expires_never();
     auto self = shared_from_this();
     mHandler(mParser->release(), [self](HttpResponse aResponse) {
@@ -86,7 +87,7 @@
     });
   }
 
-  void RefuseIfMalformed(beast::error_code aEc)
+  void RejectIfMalformed(beast::error_code aEc)
   {
     bool parseError =
       aEc.category() == make_error_code(http::error::bad_method).category() &&
@@ -95,8 +96,8 @@
       Close();
       return;
     }
-    if (mRefused) {
-      mRefused();
+    if (mOnMalformed) {
+      mOnMalformed();
     }
     HttpResponse response(http::status::bad_request, 11);
     response.set(http::field::content_type, "text/plain");
@@ -122,7 +123,7 @@
 
   void OnWritten(beast::error_code aEc)
   {
-    mAnswering = false;
+    mResponding = false;
     if (aEc || !mResponse.keep_alive() || mClosing) {
       Close();
       return;
@@ -139,11 +140,11 @@
 
   beast::tcp_stream mStream;
   HttpServer::Handler mHandler;
-  HttpServer::Refused mRefused;
+  HttpServer::OnMalformed mOnMalformed;
   beast::flat_buffer mBuffer;
   std::optional<http::request_parser<http::string_body>> mParser;
   HttpResponse mResponse;
-  bool mAnswering = false;
+  bool mResponding = false;
   bool mClosing = false;
 };
 
@@ -152,18 +153,18 @@
 struct HttpServer::Impl
 {
   Impl(const asio::any_io_executor& aExecutor, Handler aHandler,
-       Refused aRefused)
+       OnMalformed aOnMalformed)
     : mExecutor(aExecutor)
     , mAcceptor(asio::make_strand(aExecutor))
     , mHandler(std::move(aHandler))
-    , mRefused(std::move(aRefused))
+    , mOnMalformed(std::move(aOnMalformed))
   {
   }
 
   asio::any_io_executor mExecutor;
   asio::ip::tcp::acceptor mAcceptor;
   Handler mHandler;
-  Refused mRefused;
+  OnMalformed mOnMalformed;
   std::mutex mLock;
   std::set<std::weak_ptr<Session>, std::owner_less<>> mSessions;
   bool mStopped = false;
@@ -188,7 +189,7 @@
     beast::error_code ec;
     aSocket.set_option(asio::ip::tcp::no_delay(true), ec);
     auto session =
-      std::make_shared<Session>(std::move(aSocket), mHandler, mRefused);
+      std::make_shared<Session>(std::move(aSocket), mHandler, mOnMalformed);
     {
       std::lock_guard lock(mLock);
       std::erase_if(mSessions, [](const auto& aIt) { return aIt.expired(); });
@@ -207,10 +208,10 @@
 
 Result<std::shared_ptr<HttpServer>> HttpServer::Make(
   const asio::any_io_executor& aExecutor, const Address& aListen,
-  Handler aHandler, Refused aRefused)
+  Handler aHandler, OnMalformed aOnMalformed)
 {
-  auto impl =
-    std::make_unique<Impl>(aExecutor, std::move(aHandler), std::move(aRefused));
+  auto impl = std::make_unique<Impl>(aExecutor, std::move(aHandler),
+                                     std::move(aOnMalformed));
   auto endpoint = ToEndpoint<asio::ip::tcp>(aListen);
   beast::error_code ec;
   auto& acceptor = impl->mAcceptor;
@@ -227,7 +228,7 @@
   if (ec) {
     return Fail(ErrorKind::System,
                 "can't listen at " + aListen.ToString() + ": " + ec.message(),
-                "free the port or set another one in the settings");
+                "free the port or change it in the settings");
   }
   std::shared_ptr<HttpServer> server(new HttpServer(std::move(impl)));
   server->mImpl->Accept(server);
--- a/src/net/HttpServer.h
+++ b/src/net/HttpServer.h
@@ -12,35 +12,35 @@
 
 namespace heatherplank {
 
-/** A small HTTP/1.1 server on Beast: each request goes to one handler, which
- * answers now or later.
+/** A small HTTP/1.1 server on Beast. One handler receives all requests and
+ * responds synchronously or later.
  */
 class HttpServer : public std::enable_shared_from_this<HttpServer>
 {
 public:
-  /** Sends the answer; callable once, from any thread. Dropping it closes the
-   * connection without an answer.
+  /** Sends the response; callable once, from any thread. Destroying it uncalled
+   * closes the connection without a response.
    */
   using Respond = std::function<void(HttpResponse)>;
-  /** Called on the server's executor, one at a time for a connection. */
+  /** Called on the server's executor, one call at a time per connection. */
   using Handler = std::function<void(HttpRequest, Respond)>;
 
-  /** Called for each request that does not parse; it was answered with 400. */
-  using Refused = std::function<void()>;
+  /** Called for each request that can't be parsed, before the 400 response. */
+  using OnMalformed = std::function<void()>;
 
-  /** Binds and listens at once; port 0 takes a free one (see Local). Fails with
-   * System if the address can't be bound. aRefused may be empty.
+  /** Binds and listens; port 0 selects a free port (see Local). Fails with
+   * System if aListen can't be bound. aOnMalformed may be empty.
    */
   static Result<std::shared_ptr<HttpServer>> Make(
     const boost::asio::any_io_executor& aExecutor, const Address& aListen,
-    Handler aHandler, Refused aRefused = {});
+    Handler aHandler, OnMalformed aOnMalformed = {});
 
   ~HttpServer();
 
-  /** The address that it listens at, with the real port. */
+  /** The listening address, with the actual port. */
   Address Local() const;
 
-  /** Takes no new connection and closes the idle ones. Thread safe. */
+  /** Stops accepting and closes idle connections. Thread safe. */
   void Stop();
 
 private:
@@ -49,9 +49,7 @@
   std::unique_ptr<Impl> mImpl;
 };
 
-/** An answer to aRequest with this status, type and body, keep-alive as
- * asked.
- */
+/** Builds a response to aRequest, with keep-alive as in the request. */
 HttpResponse MakeResponse(const HttpRequest& aRequest, http::status aStatus,
                           std::string_view aContentType, std::string aBody);
 
--- a/src/process/AdminServer.cpp
+++ b/src/process/AdminServer.cpp
@@ -13,9 +13,9 @@
 
 namespace {
 
-void Answer(const HttpRequest& aRequest, const HttpServer::Respond& aRespond,
-            http::status aStatus, std::string aBody,
-            std::string_view aType = "text/plain")
+void SendResponse(const HttpRequest& aRequest,
+                  const HttpServer::Respond& aRespond, http::status aStatus,
+                  std::string aBody, std::string_view aType = "text/plain")
 {
   aRespond(MakeResponse(aRequest, aStatus, aType, std::move(aBody)));
 }
@@ -28,7 +28,7 @@
   const auto* list = object ? object->if_contains("addresses") : nullptr;
   std::vector<Address> out;
   if (list == nullptr || !list->is_array()) {
-    return Fail(ErrorKind::InvalidInput, "no list \"addresses\"",
+    return Fail(ErrorKind::InvalidInput, "the body has no list \"addresses\"",
                 "send {\"addresses\": [\"127.0.0.1:8080\"]}");
   }
   for (const auto& it : list->get_array()) {
@@ -49,24 +49,24 @@
 {
   Mount("/metrics", [this](const HttpRequest& aRequest,
                            const HttpServer::Respond& aRespond) {
-    Answer(aRequest, aRespond, http::status::ok, mMetrics.ToPrometheus(),
-           "text/plain; version=0.0.4");
+    SendResponse(aRequest, aRespond, http::status::ok, mMetrics.ToPrometheus(),
+                 "text/plain; version=0.0.4");
   });
   Mount("/metrics.json", [this](const HttpRequest& aRequest,
                                 const HttpServer::Respond& aRespond) {
-    Answer(aRequest, aRespond, http::status::ok, mMetrics.ToJson(),
-           "application/json");
+    SendResponse(aRequest, aRespond, http::status::ok, mMetrics.ToJson(),
+                 "application/json");
   });
   Mount("/healthz",
         [](const HttpRequest& aRequest, const HttpServer::Respond& aRespond) {
-          Answer(aRequest, aRespond, http::status::ok, "alive\n");
+          SendResponse(aRequest, aRespond, http::status::ok, "alive\n");
         });
   Mount("/readyz", [this](const HttpRequest& aRequest,
                           const HttpServer::Respond& aRespond) {
     auto ready = mReadiness();
-    Answer(aRequest, aRespond,
-           ready ? http::status::ok : http::status::service_unavailable,
-           ready ? "ready\n" : ready.error().Describe() + "\n");
+    SendResponse(aRequest, aRespond,
+                 ready ? http::status::ok : http::status::service_unavailable,
+                 ready ? "ready\n" : ready.error().Describe() + "\n");
   });
 }
 
@@ -83,17 +83,17 @@
                                const HttpServer::Respond& aRespond) {
     auto addresses = ReadAddresses(aRequest.body());
     if (!addresses) {
-      Answer(aRequest, aRespond, http::status::bad_request,
-             addresses.error().Describe() + "\n");
+      SendResponse(aRequest, aRespond, http::status::bad_request,
+                   addresses.error().Describe() + "\n");
       return;
     }
     aCuts.Set(*addresses);
-    Answer(aRequest, aRespond, http::status::ok, "cut\n");
+    SendResponse(aRequest, aRespond, http::status::ok, "cut\n");
   });
   Mount("/fault/heal", [&aCuts](const HttpRequest& aRequest,
                                 const HttpServer::Respond& aRespond) {
     aCuts.Set({});
-    Answer(aRequest, aRespond, http::status::ok, "healed\n");
+    SendResponse(aRequest, aRespond, http::status::ok, "healed\n");
   });
 }
 
@@ -133,8 +133,8 @@
       return;
     }
   }
-  Answer(aRequest, aRespond, http::status::not_found,
-         "no such page; see docs/ADMIN.md\n");
+  SendResponse(aRequest, aRespond, http::status::not_found,
+               "no such endpoint; see docs/ADMIN.md\n");
 }
 
 } // namespace heatherplank
--- a/src/process/AdminServer.h
+++ b/src/process/AdminServer.h
@@ -17,29 +17,30 @@
 class CutList;
 class MetricsRegistry;
 
-/** The HTTP port for people and tools: /metrics (Prometheus), /metrics.json,
- * /healthz, /readyz, and what the process mounts besides. Thread safe once
- * started.
+/** The HTTP server for operators and monitoring: /metrics (Prometheus),
+ * /metrics.json, /healthz, /readyz, and the handlers that the process mounts.
+ * Thread safe once started.
  */
 class AdminServer
 {
 public:
-  /** Says whether the process is ready, and if not, why. */
+  /** Returns an error with the reason if the process is not ready. */
   using Readiness = std::function<Result<void>()>;
 
   AdminServer(MetricsRegistry& aMetrics, Readiness aReadiness);
   ~AdminServer();
 
-  /** Answers requests whose path begins with aPrefix; the longest prefix
-   * wins. Precondition: not started. */
+  /** Routes requests whose path starts with aPrefix to aHandler. Prefixes are
+   * tried in descending order, so the longest match wins. Precondition: not
+   * started. */
   void Mount(std::string aPrefix, HttpServer::Handler aHandler);
 
-  /** Mounts /fault/cut and /fault/heal for experiments with partitions.
-   * Precondition: not started; aCuts outlives the server. */
+  /** Mounts /fault/cut and /fault/heal, which simulate network partitions.
+   * Preconditions: not started; aCuts outlives the server. */
   void MountFaults(CutList& aCuts);
 
-  /** Listens, at each address that it is called with; System if the address
-   * can't be bound. */
+  /** Listens at aListen; may be called for several addresses. Fails with System
+   * if the address can't be bound. */
   Result<void> Start(const boost::asio::any_io_executor& aExecutor,
                      const Address& aListen);
 
--- a/src/process/ConfigCounterExport.cpp
+++ b/src/process/ConfigCounterExport.cpp
@@ -40,9 +40,9 @@
                           MetricsRegistry& aMetrics)
 {
   for (const auto& it : kExports) {
-    auto grown = aNow.*it.mField - aExported.*it.mField;
-    if (grown > 0) {
-      aMetrics.GetCounter(it.mName, it.mLabel).Add(grown);
+    auto increase = aNow.*it.mField - aExported.*it.mField;
+    if (increase > 0) {
+      aMetrics.GetCounter(it.mName, it.mLabel).Add(increase);
     }
   }
   aExported = aNow;
--- a/src/process/ConfigCounterExport.h
+++ b/src/process/ConfigCounterExport.h
@@ -6,8 +6,8 @@
 
 class MetricsRegistry;
 
-/** Adds what was counted since aExported to the metrics, and brings aExported
- * up to date. Not thread safe.
+/** Adds the increases from aExported to aNow to the metrics, then sets
+ * aExported to aNow. Not thread safe.
  */
 void ExportConfigCounters(const ConfigCounters& aNow, ConfigCounters& aExported,
                           MetricsRegistry& aMetrics);
--- a/src/process/ControlLinks.cpp
+++ b/src/process/ControlLinks.cpp
@@ -11,12 +11,12 @@
 
 namespace {
 
-/** Heartbeats go several times a second: what is idle for this long is to a
- * process that is gone. */
-constexpr auto kIdle = std::chrono::seconds(30);
-/** Messages that may wait for a connection to be made; more are lost, as they
- * would be on a connection that breaks. */
-constexpr std::size_t kMostWaiting = 32;
+/** Heartbeats are sent several times a second, so a connection that is idle for
+ * this long leads to a process that is gone. */
+constexpr auto kIdleTimeout = std::chrono::seconds(30);
+/** Messages that may wait for a connection; at the limit all of them are
+ * dropped, as they would be when a connection breaks. */
+constexpr std::size_t kMaxQueuedMessages = 32;
 
 } // namespace
 
@@ -35,8 +35,8 @@
   events.mFrame = [this](const auto& aConnection, const Frame& aFrame) {
     OnServerFrame(aConnection, aFrame);
   };
-  events.mClosed = [this](const auto& aConnection, const Error& aWhy) {
-    OnServerClosed(aConnection, aWhy);
+  events.mClosed = [this](const auto& aConnection, const Error& aReason) {
+    OnServerClosed(aConnection, aReason);
   };
   auto server =
     ControlServer::Make(mParts.mExecutor, mSelf.mControl, std::move(events));
@@ -66,10 +66,10 @@
   if (it == mLinks.end()) {
     return;
   }
-  for (const auto& [kind, payload] : it->second.mWaiting) {
+  for (const auto& [kind, payload] : it->second.mQueue) {
     aConnection->Send(kind, payload);
   }
-  it->second.mWaiting.clear();
+  it->second.mQueue.clear();
 }
 
 void ControlLinks::Send(const Address& aTo, MessageKind aKind,
@@ -80,17 +80,17 @@
   if (!link.mClient) {
     link.mClient = MakeClient(aTo);
   }
-  link.mUsedAt = mParts.mClock.Now();
-  // A message must not overtake those that wait for the connection.
-  if (link.mWaiting.empty() && link.mClient->Send(aKind, aPayload)) {
+  link.mLastUsedAt = mParts.mClock.Now();
+  // Messages must not overtake those queued for the connection.
+  if (link.mQueue.empty() && link.mClient->Send(aKind, aPayload)) {
     return;
   }
-  if (link.mWaiting.size() >= kMostWaiting || mParts.mCuts.IsCut(aTo)) {
-    link.mWaiting.clear();
-    Count("unreachable");
+  if (link.mQueue.size() >= kMaxQueuedMessages || mParts.mCuts.IsCut(aTo)) {
+    link.mQueue.clear();
+    CountRejected("unreachable");
     return;
   }
-  link.mWaiting.emplace_back(aKind, Bytes(aPayload.begin(), aPayload.end()));
+  link.mQueue.emplace_back(aKind, Bytes(aPayload.begin(), aPayload.end()));
 }
 
 void ControlLinks::Tick()
@@ -98,12 +98,12 @@
   std::lock_guard lock(mLock);
   Time now = mParts.mClock.Now();
   for (auto it = mLinks.begin(); it != mLinks.end();) {
-    if (now - it->second.mUsedAt < kIdle) {
+    if (now - it->second.mLastUsedAt < kIdleTimeout) {
       ++it;
       continue;
     }
-    mPastSent += it->second.mClient->BytesSent();
-    mPastReceived += it->second.mClient->BytesReceived();
+    mClosedBytesSent += it->second.mClient->BytesSent();
+    mClosedBytesReceived += it->second.mClient->BytesReceived();
     it->second.mClient->Stop();
     it = mLinks.erase(it);
   }
@@ -116,7 +116,7 @@
   if (aFrame.mKind == MessageKind::Hello) {
     auto hello = DecodeHello(aFrame.mPayload);
     if (!hello) {
-      Count("malformed");
+      CountRejected("malformed");
       aConnection->Close();
       return;
     }
@@ -128,7 +128,7 @@
     std::lock_guard lock(mLock);
     auto it = mIncoming.find(aConnection.get());
     if (it == mIncoming.end()) {
-      Count("no_hello");
+      CountRejected("no_hello");
       aConnection->Close();
       return;
     }
@@ -140,18 +140,19 @@
 }
 
 void ControlLinks::OnServerClosed(const ControlConnection::Ptr& aConnection,
-                                  const Error& aWhy)
+                                  const Error& aReason)
 {
-  if (aWhy.mKind != ErrorKind::Unavailable) {
-    Count(aWhy.mKind == ErrorKind::TooLarge ? "too_large" : "malformed");
+  if (aReason.mKind != ErrorKind::Unavailable) {
+    CountRejected(aReason.mKind == ErrorKind::TooLarge ? "too_large"
+                                                       : "malformed");
   }
   std::lock_guard lock(mLock);
-  mPastSent += aConnection->BytesSent();
-  mPastReceived += aConnection->BytesReceived();
+  mClosedBytesSent += aConnection->BytesSent();
+  mClosedBytesReceived += aConnection->BytesReceived();
   mIncoming.erase(aConnection.get());
 }
 
-void ControlLinks::Count(const char* aReason)
+void ControlLinks::CountRejected(const char* aReason)
 {
   std::string label = "reason=\"";
   label.append(aReason).append("\"");
@@ -161,7 +162,7 @@
 std::uint64_t ControlLinks::BytesSent() const
 {
   std::lock_guard lock(mLock);
-  std::uint64_t sum = mPastSent;
+  std::uint64_t sum = mClosedBytesSent;
   for (const auto& [to, link] : mLinks) {
     sum += link.mClient->BytesSent();
   }
@@ -174,7 +175,7 @@
 std::uint64_t ControlLinks::BytesReceived() const
 {
   std::lock_guard lock(mLock);
-  std::uint64_t sum = mPastReceived;
+  std::uint64_t sum = mClosedBytesReceived;
   for (const auto& [to, link] : mLinks) {
     sum += link.mClient->BytesReceived();
   }
--- a/src/process/ControlLinks.h
+++ b/src/process/ControlLinks.h
@@ -21,16 +21,16 @@
 class CutList;
 class MetricsRegistry;
 
-/** Control messages between our processes by address: one connection out to
- * each process that is sent to, made when first needed and let go when idle,
- * and the connections in, each of which begins by saying whose it is. Thread
- * safe, by its own lock.
+/** Exchanges control messages with other heatherplank processes by address.
+ * Opens one outgoing connection per destination at its first message and closes
+ * it when idle. An incoming connection must start with a Hello that identifies
+ * its sender. Thread safe.
  */
 class ControlLinks final : public MessageSender
 {
 public:
-  /** A frame from a process; its payload is valid during the call. Called with
-   * no lock held, possibly by several threads at once. */
+  /** Called for a frame and its sender; the payload is valid during the call.
+   * No lock is held, and several threads may call it at once. */
   using OnFrame = std::function<void(const Hello& aFrom, const Frame&)>;
 
   struct Parts
@@ -38,22 +38,23 @@
     boost::asio::any_io_executor mExecutor;
     const Clock& mClock;
     MetricsRegistry& mMetrics;
-    /** Must outlive the links. */
+    /** Must outlive the ControlLinks. */
     const CutList& mCuts;
   };
 
   ControlLinks(Parts aParts, const Hello& aSelf, OnFrame aOnFrame);
   ~ControlLinks() override;
 
-  /** Listens at this process's control address; System if it can't. */
+  /** Listens at this process's control address. Fails with System if it can't
+   * be bound. */
   Result<void> Listen();
 
   void Send(const Address& aTo, MessageKind aKind, ByteView aPayload) override;
 
-  /** Lets idle connections go; call every second or so. */
+  /** Closes idle connections; call about once a second. */
   void Tick();
 
-  /** Bytes sent and received over all connections so far. */
+  /** Bytes over all past and present connections. */
   std::uint64_t BytesSent() const;
   std::uint64_t BytesReceived() const;
 
@@ -61,9 +62,9 @@
   struct Link
   {
     std::shared_ptr<ControlClient> mClient;
-    Time mUsedAt;
-    /** Messages for a connection that does not stand yet. */
-    std::vector<std::pair<MessageKind, Bytes>> mWaiting;
+    Time mLastUsedAt;
+    /** Messages that wait until the connection is established. */
+    std::vector<std::pair<MessageKind, Bytes>> mQueue;
   };
   struct Incoming
   {
@@ -77,8 +78,8 @@
   void OnServerFrame(const ControlConnection::Ptr& aConnection,
                      const Frame& aFrame);
   void OnServerClosed(const ControlConnection::Ptr& aConnection,
-                      const Error& aWhy);
-  void Count(const char* aReason);
+                      const Error& aReason);
+  void CountRejected(const char* aReason);
 
   Parts mParts;
   const Hello mSelf;
@@ -87,8 +88,8 @@
   mutable std::mutex mLock;
   std::map<Address, Link> mLinks;
   std::map<const ControlConnection*, Incoming> mIncoming;
-  std::uint64_t mPastSent = 0;
-  std::uint64_t mPastReceived = 0;
+  std::uint64_t mClosedBytesSent = 0;
+  std::uint64_t mClosedBytesReceived = 0;
 };
 
 } // namespace heatherplank
--- a/src/process/DatagramMessages.h
+++ b/src/process/DatagramMessages.h
@@ -7,27 +7,27 @@
 
 namespace heatherplank {
 
-/** Sends small messages as single datagrams and leaves the others to another
+/** Sends each small message as one datagram and passes larger ones to another
  * sender.
  *
- * Heartbeats are what tells the dead from the living, so they must not wait
- * behind lost bytes of a connection, nor go into one that went silent: a
- * datagram that is lost is made good by the next heartbeat. It also costs one
- * system call where a connection costs several. Thread safe.
+ * Failure detection depends on heartbeats, so they must not be delayed by the
+ * retransmissions of a TCP connection nor be lost in one that hangs. The next
+ * heartbeat makes up for a lost datagram. A datagram also costs one system
+ * call, a TCP connection several. Thread safe.
  */
 class DatagramMessages final : public MessageSender
 {
 public:
-  /** Fits the smallest usual packet size of networks, headers included. */
-  static constexpr std::size_t kLargest = 1200;
+  /** With headers, fits the smallest common MTU. */
+  static constexpr std::size_t kMaxPayload = 1200;
 
-  /** aLarge must outlive it. */
+  /** aLarge sends the larger messages and must outlive this object. */
   explicit DatagramMessages(MessageSender& aLarge)
     : mLarge(aLarge)
   {
   }
 
-  /** The socket to send from. Precondition: called once, before Send. */
+  /** Sets the socket to send from. Precondition: called once, before Send. */
   void SetSocket(std::shared_ptr<DatagramSocket> aSocket)
   {
     mSocket = std::move(aSocket);
@@ -35,7 +35,7 @@
 
   void Send(const Address& aTo, MessageKind aKind, ByteView aPayload) override
   {
-    if (aPayload.size() > kLargest) {
+    if (aPayload.size() > kMaxPayload) {
       mLarge.Send(aTo, aKind, aPayload);
       return;
     }
--- a/src/process/MessageSender.h
+++ b/src/process/MessageSender.h
@@ -5,14 +5,14 @@
 
 namespace heatherplank {
 
-/** Sends messages to our other processes. Thread safe. */
+/** Sends messages to other heatherplank processes. Thread safe. */
 class MessageSender
 {
 public:
   virtual ~MessageSender() = default;
 
-  /** Sends a message; it may be lost, and is if the other side can't be
-   * reached now. */
+  /** Sends a message without delivery guarantee; it is lost if the destination
+   * is unreachable. */
   virtual void Send(const Address& aTo, MessageKind aKind,
                     ByteView aPayload) = 0;
 };
--- a/src/process/ProcessOptions.h
+++ b/src/process/ProcessOptions.h
@@ -4,12 +4,12 @@
 
 namespace heatherplank {
 
-/** What the command line says to a balancer or agent. */
+/** Command-line options of a balancer or agent. */
 struct ProcessOptions
 {
-  /** File with its settings. */
+  /** Path of the settings file. */
   std::string mSettingsFile;
-  /** Mount the faults of experiments on the admin port. */
+  /** Enables the fault-injection endpoints on the admin port. */
   bool mFaultInjection = false;
 };
 
--- a/src/process/ProcessRuntime.cpp
+++ b/src/process/ProcessRuntime.cpp
@@ -14,7 +14,7 @@
 
 namespace {
 
-/** One repeating timer; keeps itself alive by its pending wait. */
+/** A repeating timer. The handler of its pending wait owns it. */
 class Repeater : public std::enable_shared_from_this<Repeater>
 {
 public:
--- a/src/process/ProcessRuntime.h
+++ b/src/process/ProcessRuntime.h
@@ -12,8 +12,8 @@
 
 namespace heatherplank {
 
-/** The event loop of a process, its worker threads, its timers and the signals
- * that stop it.
+/** The event loop of a process, with its worker threads, timers and signal
+ * handling.
  */
 class ProcessRuntime
 {
@@ -23,19 +23,19 @@
 
   boost::asio::any_io_executor Executor();
 
-  /** Calls aWork every aPeriod, one call at a time, until the process ends.
-   * Thread safe. */
+  /** Calls aWork repeatedly, one call at a time, each aPeriod after the end of
+   * the last, until Run ends. Thread safe. */
   void Every(Duration aPeriod, std::function<void()> aWork);
 
-  /** Called once at the first SIGTERM or SIGINT: a planned stop. A second one
-   * ends the process at once. */
+  /** Sets the handler of the first SIGTERM or SIGINT, a planned stop. A second
+   * signal ends Run at once. */
   void OnStop(std::function<void()> aStop);
 
-  /** Called at each SIGHUP: the settings file may have changed. Without it the
-   * signal is logged and ignored; it never ends the process. */
+  /** Sets the handler of SIGHUP: the settings file may have changed. Without a
+   * handler the signal is logged and ignored; it never ends the process. */
   void OnReload(std::function<void()> aReload);
 
-  /** Runs with aThreads threads until Quit. */
+  /** Runs the event loop on aThreads threads until Quit. */
   void Run(std::uint32_t aThreads);
 
   /** Ends Run. Thread safe. */
--- a/src/process/RunProcess.h
+++ b/src/process/RunProcess.h
@@ -9,17 +9,17 @@
 
 namespace heatherplank {
 
-/** Writes an error to standard error, one line with the remedy, and gives its
- * exit code. */
+/** Writes an error and its remedy to standard error, on one line, and returns
+ * its exit code. */
 inline ExitCode ReportStartError(const Error& aError)
 {
   std::fprintf(stderr, "heatherplank: %s\n", aError.Describe().c_str());
   return ToExitCode(aError);
 }
 
-/** Runs a process until it is told to stop: reads its settings with aRead,
- * opens everything with aMake, runs. Errors before that go to standard error.
- * Not thread safe; call once a process.
+/** Reads the settings with aRead, creates the process with aMake and runs it
+ * until it stops. Errors before the run go to standard error. Not thread safe;
+ * call once per process.
  */
 template<typename ReadSettings, typename MakeProcess>
 ExitCode RunProcess(const ProcessOptions& aOptions, ReadSettings aRead,
@@ -27,8 +27,8 @@
 {
   if (aOptions.mSettingsFile.empty()) {
     return ReportStartError({ ErrorKind::InvalidInput,
-                              "the process needs its settings",
-                              "give --settings=FILE" });
+                              "no settings file was given",
+                              "pass --settings=FILE" });
   }
   auto settings = aRead(aOptions.mSettingsFile);
   if (!settings) {
--- a/src/process/StandstillWatch.h
+++ b/src/process/StandstillWatch.h
@@ -6,34 +6,34 @@
 
 namespace heatherplank {
 
-/** Notices that the process did not run for a while: it was stopped, or its
- * machine was suspended. What it believed of others is then as old as the gap,
- * though no time-out of its own may have passed: the steady clock does not
- * count a suspension. Not thread safe.
+/** Detects that the process was stalled: by SIGSTOP, or because its VM was
+ * suspended. Its state about other processes is then as old as the stall, even
+ * if none of its timeouts expired, since the steady clock does not count a
+ * suspension. Not thread safe.
  */
 class StandstillWatch
 {
 public:
-  /** Longer than the pauses of a scheduler that gives a process its share once
-   * in 100 ms; shorter than callers wait before they repeat a packet. */
-  static constexpr Duration kGap = std::chrono::milliseconds(150);
+  /** Longer than the pauses of a scheduler with a 100 ms CPU quota period;
+   * shorter than the callers' first retransmission delay. */
+  static constexpr Duration kMinStall = std::chrono::milliseconds(150);
 
-  /** How long the process stood still since the last call; zero if it ran.
-   * aSinceBoot: time since the machine's start, suspensions included. Call it
-   * at least every 100 ms. */
+  /** Returns how long the process was stalled since the last call, or zero.
+   * aSinceBoot: time since the VM's boot, suspensions included. Call it at
+   * least every 100 ms. */
   Duration OnTick(Time aNow, Duration aSinceBoot)
   {
-    Duration gap = mStarted ? aSinceBoot - mSinceBoot : Duration::zero();
-    if (mStarted && aNow - mNow > gap) {
-      gap = aNow - mNow;
+    Duration gap = mStarted ? aSinceBoot - mLastSinceBoot : Duration::zero();
+    if (mStarted && aNow - mLastNow > gap) {
+      gap = aNow - mLastNow;
     }
     mStarted = true;
-    mNow = aNow;
-    mSinceBoot = aSinceBoot;
-    return gap >= kGap ? gap : Duration::zero();
+    mLastNow = aNow;
+    mLastSinceBoot = aSinceBoot;
+    return gap >= kMinStall ? gap : Duration::zero();
   }
 
-  /** The machine's clock that counts suspensions. */
+  /** Time since the VM's boot, suspensions included. */
   static Duration SinceBoot()
   {
     timespec now{};
@@ -44,8 +44,8 @@
 
 private:
   bool mStarted = false;
-  Time mNow{};
-  Duration mSinceBoot{};
+  Time mLastNow{};
+  Duration mLastSinceBoot{};
 };
 
 } // namespace heatherplank
--- a/src/process/StatusSender.cpp
+++ b/src/process/StatusSender.cpp
@@ -53,15 +53,15 @@
 std::optional<AddressedReport> StatusSender::Tick(
   std::span<const Member> aBalancers, Time aNow)
 {
-  std::vector<HostId> near;
+  std::vector<HostId> sameDataCentre;
   std::vector<HostId> all;
   for (const auto& it : aBalancers) {
     all.push_back(it.mHost);
     if (it.mDataCentre == mDataCentre) {
-      near.push_back(it.mHost);
+      sameDataCentre.push_back(it.mHost);
     }
   }
-  const auto& candidates = near.empty() ? all : near;
+  const auto& candidates = sameDataCentre.empty() ? all : sameDataCentre;
   std::uint32_t shard =
     StatusShardOf(mName, CountStatusShards(candidates.size()));
   HostId keeper = ChooseStatusKeeper(shard, candidates);
--- a/src/process/StatusSender.h
+++ b/src/process/StatusSender.h
@@ -12,7 +12,7 @@
 
 namespace heatherplank {
 
-/** A status report and the balancer that keeps the board for it. */
+/** A status report and the balancer whose status board receives it. */
 struct AddressedReport
 {
   Member mKeeper;
@@ -22,8 +22,8 @@
 /** Milliseconds since the Unix epoch. Thread safe. */
 std::int64_t WallClockMilliseconds();
 
-/** What a process tells of itself, when, and to whom. Thread safe, by its own
- * lock.
+/** Builds a process's status reports and selects the balancer that receives
+ * them. Thread safe.
  */
 class StatusSender
 {
@@ -31,14 +31,15 @@
   /** aRole: "balancer" or "agent". */
   StatusSender(const ProcessSettings& aSettings, const std::string& aRole);
 
-  /** A version came into force. */
+  /** Records that a configuration version came into force. */
   void OnInForce(std::uint64_t aVersion, Time aNow);
 
-  /** Adds figures to the next report. */
+  /** Adds policy figures to the next report. */
   void Add(std::span<const PolicyFigures> aFigures);
 
-  /** The report, if one is due and a balancer is known to keep it: one of the
-   * process's data centre, or any if that has none. Call every second. */
+  /** Returns the report if one is due and a balancer is known to receive it:
+   * one of the process's data centre, or any if that has none. Call every
+   * second. */
   std::optional<AddressedReport> Tick(std::span<const Member> aBalancers,
                                       Time aNow);
 
--- a/src/process/WallClock.h
+++ b/src/process/WallClock.h
@@ -6,8 +6,8 @@
 
 namespace heatherplank {
 
-/** Microseconds since the Unix epoch: the incarnation of a process that starts
- * now. aOffset is added, for experiments with wrong clocks. Thread safe.
+/** Microseconds since the Unix epoch, used as the incarnation of a process that
+ * starts now. aOffset is added to simulate a wrong clock. Thread safe.
  */
 inline Incarnation WallClockMicroseconds(Duration aOffset = {})
 {
--- a/src/store/CallLimits.cpp
+++ b/src/store/CallLimits.cpp
@@ -10,15 +10,15 @@
   : mPerSecond(aPerSecond)
   , mBurst(aBurst)
   , mTokens(aBurst)
-  , mAt(aNow)
+  , mRefilledAt(aNow)
 {
 }
 
 void TokenBucket::Refill(Time aNow)
 {
-  mTokens =
-    std::min(mBurst, mTokens + Seconds(aNow - mAt).count() * mPerSecond);
-  mAt = aNow;
+  mTokens = std::min(mBurst, mTokens + Seconds(aNow - mRefilledAt).count() *
+                                         mPerSecond);
+  mRefilledAt = aNow;
 }
 
 bool TokenBucket::TryTake(Time aNow)
@@ -37,16 +37,16 @@
   if (missing <= 0) {
     return aNow;
   }
-  // Rounded up, so that the token is there at that time.
+  // Rounded up, so that the token is available at the returned time.
   auto wait = std::chrono::ceil<Duration>(Seconds(missing / mPerSecond)) +
               std::chrono::microseconds(1);
-  return std::max(aNow, mAt + wait);
+  return std::max(aNow, mRefilledAt + wait);
 }
 
-Backoff::Backoff(Duration aFirst, Duration aLongest, std::uint64_t aSeed)
-  : mFirst(aFirst)
-  , mLongest(aLongest)
-  , mBound(aFirst)
+Backoff::Backoff(Duration aInitial, Duration aMax, std::uint64_t aSeed)
+  : mInitial(aInitial)
+  , mMax(aMax)
+  , mBound(aInitial)
   , mRandom(aSeed)
 {
 }
@@ -54,13 +54,13 @@
 Duration Backoff::Next()
 {
   std::uniform_int_distribution<Duration::rep> pick(0, mBound.count());
-  mBound = std::min(mLongest, 2 * mBound);
+  mBound = std::min(mMax, 2 * mBound);
   return Duration(pick(mRandom));
 }
 
 void Backoff::Reset()
 {
-  mBound = mFirst;
+  mBound = mInitial;
 }
 
 } // namespace heatherplank
--- a/src/store/CallLimits.h
+++ b/src/store/CallLimits.h
@@ -7,9 +7,10 @@
 
 namespace heatherplank {
 
-/** Limits how often a process calls the platform. Without it a process whose
- * calls fail, or that has much to ask, takes the platform's rates from the
- * grants of others. Pure; not thread safe.
+/** Limits how often a process calls the platform. Without it, a process with
+ * failing calls or many requests would use up the platform's rate limits, which
+ * other processes need for their grants. No I/O or clock access; not thread
+ * safe.
  */
 class TokenBucket
 {
@@ -17,10 +18,10 @@
   /** Preconditions: aPerSecond and aBurst above 0. Starts full. */
   TokenBucket(double aPerSecond, double aBurst, Time aNow);
 
-  /** Takes one token if there is one. */
+  /** Takes one token; false if there is none. */
   bool TryTake(Time aNow);
 
-  /** When the next token is there, not before aNow. */
+  /** When the next token is available, not before aNow. */
   Time NextAt(Time aNow) const;
 
 private:
@@ -29,29 +30,29 @@
   double mPerSecond;
   double mBurst;
   double mTokens;
-  Time mAt;
+  Time mRefilledAt;
 };
 
-/** Exponential back-off with full jitter: each pause is drawn evenly from 0 to
- * a bound that doubles. When a platform comes back after an outage, callers
- * that paused for the same times would all return at once and bring it down
- * again; drawn pauses spread them over the whole bound. The same seed gives
- * the same pauses. Pure; not thread safe.
+/** Exponential back-off with full jitter: each pause is uniformly random
+ * between 0 and a bound that doubles. After an outage of the platform, callers
+ * with equal pauses would all retry at once and overload it again; random
+ * pauses spread them over the bound. The same seed gives the same pauses. No
+ * I/O or clock access; not thread safe.
  */
 class Backoff
 {
 public:
-  Backoff(Duration aFirst, Duration aLongest, std::uint64_t aSeed);
+  Backoff(Duration aInitial, Duration aMax, std::uint64_t aSeed);
 
-  /** The pause after one more failure. */
+  /** Returns the pause after a failure, and doubles the bound up to aMax. */
   Duration Next();
 
-  /** After a success: the bound is the first again. */
+  /** Sets the bound back to aInitial, after a success. */
   void Reset();
 
 private:
-  Duration mFirst;
-  Duration mLongest;
+  Duration mInitial;
+  Duration mMax;
   Duration mBound;
   std::mt19937_64 mRandom;
 };
--- a/src/store/HttpObjectStore.cpp
+++ b/src/store/HttpObjectStore.cpp
@@ -12,17 +12,18 @@
 
 namespace {
 
-constexpr std::string_view kObjects = "/v1/objects/";
+constexpr std::string_view kObjectsPath = "/v1/objects/";
 
-/** Percent-encodes a key; slashes stay, as the contract has it. */
+/** Percent-encodes a key except for slashes, as the contract specifies. */
 std::string EncodeKey(std::string_view aKey)
 {
   static constexpr std::string_view kHex = "0123456789ABCDEF";
-  static constexpr std::string_view kPlain = "-._~/";
+  static constexpr std::string_view kUnreserved = "-._~/";
   std::string out;
   for (char it : aKey) {
     auto c = static_cast<unsigned char>(it);
-    if (std::isalnum(c) != 0 || kPlain.find(it) != std::string_view::npos) {
+    if (std::isalnum(c) != 0 ||
+        kUnreserved.find(it) != std::string_view::npos) {
       out += it;
       continue;
     }
@@ -33,7 +34,7 @@
   return out;
 }
 
-HttpRequest MakeCall(http::verb aVerb, const std::string& aTarget)
+HttpRequest MakeRequest(http::verb aVerb, const std::string& aTarget)
 {
   HttpRequest request(aVerb, aTarget, 11);
   request.set(http::field::host, "platform");
@@ -51,7 +52,7 @@
   }
 }
 
-/** The version in an ETag of the form "17". */
+/** Parses the version in a response's ETag, a quoted number. */
 std::optional<std::uint64_t> VersionOf(const HttpResponse& aResponse)
 {
   std::string_view tag = aResponse[http::field::etag];
@@ -68,85 +69,88 @@
   return version;
 }
 
-tl::unexpected<Error> NoSense(const std::string& aWhat)
+tl::unexpected<Error> MalformedResponse(const std::string& aDefect)
 {
-  return Fail(ErrorKind::Malformed, "the platform's answer " + aWhat,
+  return Fail(ErrorKind::Malformed, "the platform's response " + aDefect,
               "check that --platform is the address of the object API");
 }
 
-/** The error of an answer that is not a success. A 5xx other than 503 may come
- * from a server that failed after the write took effect, so its effect counts
- * as unknown; 429 and 503 mean by contract that nothing was done.
+/** Maps a status other than success to an error. A 5xx other than 503 may come
+ * from a server that failed after the write took effect, so its effect is
+ * unknown; by contract, 429 and 503 mean that nothing was done.
  */
-tl::unexpected<Error> Refusal(const HttpResponse& aResponse,
-                              std::string_view aKey)
+tl::unexpected<Error> ErrorFromStatus(const HttpResponse& aResponse,
+                                      std::string_view aKey)
 {
   std::string status = std::to_string(aResponse.result_int());
   std::string key(aKey);
   switch (aResponse.result_int()) {
     case 404:
-      return Fail(ErrorKind::NotFound, "no object " + key,
+      return Fail(ErrorKind::NotFound, "object " + key + " not found",
                   "write it first, or check the key");
     case 409:
     case 412:
-      return Fail(ErrorKind::Conflict, key + " has another version now",
-                  "read it again and redo the change on top");
+      return Fail(ErrorKind::Conflict, "the version of " + key + " has changed",
+                  "read it again and reapply the change");
     case 401:
     case 403:
-      return Fail(ErrorKind::Forbidden, "the platform forbids " + key,
-                  "give this process access to it");
+      return Fail(ErrorKind::Forbidden, "the platform denies access to " + key,
+                  "grant this process access to it");
     case 413:
       return Fail(ErrorKind::TooLarge, key + " is too large for the platform",
                   "split the value");
     case 429:
     case 503:
-      return Fail(ErrorKind::Unavailable, "the platform refuses: " + status,
+      return Fail(ErrorKind::Unavailable,
+                  "the platform rejected the request: HTTP " + status,
                   "try again later");
     default:
       break;
   }
   if (aResponse.result_int() >= 500) {
-    return Fail(ErrorKind::Timeout, "the platform failed: " + status,
-                "the write may have taken effect; read back first");
+    return Fail(
+      ErrorKind::Timeout, "the platform failed: HTTP " + status,
+      "the write may have taken effect; read it back before retrying");
   }
-  return NoSense("has the status " + status);
+  return MalformedResponse("has the unexpected status " + status);
 }
 
 Result<Object> ToObject(const HttpResponse& aResponse, std::string_view aKey)
 {
   if (aResponse.result() != http::status::ok) {
-    return Refusal(aResponse, aKey);
+    return ErrorFromStatus(aResponse, aKey);
   }
   auto version = VersionOf(aResponse);
   if (!version) {
-    return NoSense("has no version of " + std::string(aKey));
+    return MalformedResponse("has no valid version of " + std::string(aKey));
   }
   if (aResponse.body().size() > ObjectStore::kMaxObjectSize) {
-    return NoSense("is larger than any object");
+    return MalformedResponse("is larger than an object may be");
   }
   return Object{ std::string(aKey), aResponse.body(), *version };
 }
 
-/** A success without a version is no proof of what was done: its effect is
- * unknown. */
+/** Returns the version that a write produced. A success without a version does
+ * not prove what was done, so the write's effect is unknown. */
 Result<std::uint64_t> ToVersion(const HttpResponse& aResponse,
                                 std::string_view aKey)
 {
   if (aResponse.result() != http::status::ok) {
-    return Refusal(aResponse, aKey);
+    return ErrorFromStatus(aResponse, aKey);
   }
   auto version = VersionOf(aResponse);
   if (!version) {
-    return Fail(ErrorKind::Timeout,
-                "the platform gave no version for " + std::string(aKey),
-                "the write may have taken effect; read back first");
+    return Fail(
+      ErrorKind::Timeout,
+      "the platform returned no version for " + std::string(aKey),
+      "the write may have taken effect; read it back before retrying");
   }
   return *version;
 }
 
-/** 304 is "nothing newer". A store that answers a watch with a version that
- * was already seen is stale; it is taken as "nothing newer" too, so that no
- * reader goes back.
+/** Returns the object of a watch's response, or nullopt if nothing is newer:
+ * the status is 304, or a stale replica returned a version that is not above
+ * aAfter and would set the reader back.
  */
 Result<std::optional<Object>> ToChange(const HttpResponse& aResponse,
                                        std::string_view aKey,
@@ -183,27 +187,28 @@
                                         std::string_view aPrefix)
 {
   if (aResponse.result() != http::status::ok) {
-    return Refusal(aResponse, aPrefix);
+    return ErrorFromStatus(aResponse, aPrefix);
   }
   json::error_code ec;
   auto value = json::parse(aResponse.body(), ec);
   if (ec || !value.is_array()) {
-    return NoSense("is not a listing");
+    return MalformedResponse("is not a JSON array");
   }
   std::vector<ObjectName> out;
   for (const auto& it : value.get_array()) {
     auto name = ToName(it);
     if (!name) {
-      return NoSense("has a listing entry without key and version");
+      return MalformedResponse(
+        "has a list entry without a valid key and version");
     }
     out.push_back(std::move(*name));
   }
   return out;
 }
 
-/** Hands an answer on through aRead, and an error as it is. */
+/** Wraps aDone: converts a response with aRead and passes errors through. */
 template<typename T, typename Read>
-HttpClient::Done Forward(ObjectStore::Done<T> aDone, Read aRead)
+HttpClient::Done ConvertThen(ObjectStore::Done<T> aDone, Read aRead)
 {
   return [done = std::move(aDone),
           read = std::move(aRead)](const Result<HttpResponse>& aResult) {
@@ -229,12 +234,12 @@
 void HttpObjectStore::Get(std::string_view aKey, Done<Object> aDone)
 {
   auto request =
-    MakeCall(http::verb::get, std::string(kObjects) + EncodeKey(aKey));
+    MakeRequest(http::verb::get, std::string(kObjectsPath) + EncodeKey(aKey));
   auto read = [key = std::string(aKey)](const HttpResponse& aResponse) {
     return ToObject(aResponse, key);
   };
   mCalls->Send(std::move(request), mOptions.mTimeout,
-               Forward<Object>(std::move(aDone), read));
+               ConvertThen<Object>(std::move(aDone), read));
 }
 
 void HttpObjectStore::Put(std::string_view aKey, std::string aValue,
@@ -249,27 +254,27 @@
     return;
   }
   auto request =
-    MakeCall(http::verb::put, std::string(kObjects) + EncodeKey(aKey));
+    MakeRequest(http::verb::put, std::string(kObjectsPath) + EncodeKey(aKey));
   SetCondition(request, aCondition);
   request.body() = std::move(aValue);
   auto read = [key = std::string(aKey)](const HttpResponse& aResponse) {
     return ToVersion(aResponse, key);
   };
   mCalls->Send(std::move(request), mOptions.mTimeout,
-               Forward<std::uint64_t>(std::move(aDone), read));
+               ConvertThen<std::uint64_t>(std::move(aDone), read));
 }
 
 void HttpObjectStore::Delete(std::string_view aKey, WriteCondition aCondition,
                              Done<std::uint64_t> aDone)
 {
-  auto request =
-    MakeCall(http::verb::delete_, std::string(kObjects) + EncodeKey(aKey));
+  auto request = MakeRequest(http::verb::delete_,
+                             std::string(kObjectsPath) + EncodeKey(aKey));
   SetCondition(request, aCondition);
   auto read = [key = std::string(aKey)](const HttpResponse& aResponse) {
     return ToVersion(aResponse, key);
   };
   mCalls->Send(std::move(request), mOptions.mTimeout,
-               Forward<std::uint64_t>(std::move(aDone), read));
+               ConvertThen<std::uint64_t>(std::move(aDone), read));
 }
 
 void HttpObjectStore::Watch(std::string_view aKey, std::uint64_t aAfter,
@@ -277,26 +282,26 @@
 {
   auto wait = std::chrono::duration_cast<std::chrono::milliseconds>(aWait);
   auto request =
-    MakeCall(http::verb::get, std::string(kObjects) + EncodeKey(aKey) +
-                                "?after=" + std::to_string(aAfter) +
-                                "&wait_ms=" + std::to_string(wait.count()));
+    MakeRequest(http::verb::get, std::string(kObjectsPath) + EncodeKey(aKey) +
+                                   "?after=" + std::to_string(aAfter) +
+                                   "&wait_ms=" + std::to_string(wait.count()));
   auto read = [key = std::string(aKey), aAfter](const HttpResponse& aResponse) {
     return ToChange(aResponse, key, aAfter);
   };
   mWatches->Send(std::move(request), aWait + mOptions.mTimeout,
-                 Forward<std::optional<Object>>(std::move(aDone), read));
+                 ConvertThen<std::optional<Object>>(std::move(aDone), read));
 }
 
 void HttpObjectStore::List(std::string_view aPrefix,
                            Done<std::vector<ObjectName>> aDone)
 {
   auto request =
-    MakeCall(http::verb::get, "/v1/objects?prefix=" + EncodeKey(aPrefix));
+    MakeRequest(http::verb::get, "/v1/objects?prefix=" + EncodeKey(aPrefix));
   auto read = [prefix = std::string(aPrefix)](const HttpResponse& aResponse) {
     return ToNames(aResponse, prefix);
   };
   mCalls->Send(std::move(request), mOptions.mTimeout,
-               Forward<std::vector<ObjectName>>(std::move(aDone), read));
+               ConvertThen<std::vector<ObjectName>>(std::move(aDone), read));
 }
 
 } // namespace heatherplank
--- a/src/store/HttpObjectStore.h
+++ b/src/store/HttpObjectStore.h
@@ -12,21 +12,21 @@
 
 namespace heatherplank {
 
-/** The platform's object API over HTTP, as docs/CONTRACTS.md states it. One
- * call is one request: nothing is sent again here, since only the caller knows
- * whether that is safe. Watches have connections of their own, so that a
- * waiting one holds up no read or write. Thread safe.
+/** The platform's object API over HTTP, as specified in docs/CONTRACTS.md. Each
+ * call sends one request; nothing is retried, since only the caller knows
+ * whether a retry is safe. Watches have separate connections, so that a pending
+ * watch delays no read or write. Thread safe.
  */
 class HttpObjectStore final : public ObjectStore
 {
 public:
   struct Options
   {
-    /** How long an answer may take; a watch gets its wait on top. */
+    /** Timeout of a call; a watch's wait is added. */
     Duration mTimeout = std::chrono::seconds(2);
     /** Connections for reads and writes. */
     std::size_t mConnections = 4;
-    /** Watches that wait at once; further ones queue. */
+    /** Concurrent watches; further ones are queued. */
     std::size_t mWatches = 2;
   };
 
--- a/src/store/ObjectStore.cpp
+++ b/src/store/ObjectStore.cpp
@@ -9,8 +9,9 @@
 {
   Done<NameChange> done = std::move(aDone);
   done(Fail(ErrorKind::Unavailable,
-            "this store can't watch names under " + std::string(aPrefix),
-            "leave the setting that names them empty"));
+            "this store does not support watching names under " +
+              std::string(aPrefix),
+            "leave the setting that gives this prefix empty"));
 }
 
 } // namespace heatherplank
--- a/src/store/SyncObjectStore.cpp
+++ b/src/store/SyncObjectStore.cpp
@@ -12,12 +12,12 @@
 
 namespace {
 
-/** Reads on the way at once; enough to fill the client's connections. */
-constexpr std::size_t kReadsAtOnce = 16;
+/** Reads in flight at once; enough to use all of the client's connections. */
+constexpr std::size_t kMaxParallelReads = 16;
 
-/** Starts a call; its outcome comes out of the future. */
+/** Starts a call and returns the future of its result. */
 template<typename T, typename Start>
-std::future<Result<T>> Begin(Start aStart)
+std::future<Result<T>> StartCall(Start aStart)
 {
   auto promise = std::make_shared<std::promise<Result<T>>>();
   auto out = promise->get_future();
@@ -26,43 +26,44 @@
   return out;
 }
 
-enum class Repeat
+enum class RetryPolicy
 {
-  /** A read: another try does no harm. */
+  /** A read: a retry is always safe. */
   Always,
-  /** A write: only if it surely took no effect. */
+  /** A write: retried only if it certainly took no effect. */
   IfNotDone,
 };
 
-bool MayRepeat(const Error& aError, Repeat aRepeat)
+bool MayRetry(const Error& aError, RetryPolicy aPolicy)
 {
   return aError.mKind == ErrorKind::Unavailable ||
-         (aError.mKind == ErrorKind::Timeout && aRepeat == Repeat::Always);
+         (aError.mKind == ErrorKind::Timeout && aPolicy == RetryPolicy::Always);
 }
 
-/** A read that got no answer changed nothing: operators must not be told that
- * it may have. */
+/** Replaces Timeout, whose remedy says that the call may have taken effect: a
+ * read changes nothing, and operators must not be told that it may have. */
 template<typename T>
-Result<T> WithoutEffect(Result<T> aResult)
+Result<T> TimeoutToUnavailable(Result<T> aResult)
 {
   if (!aResult && aResult.error().mKind == ErrorKind::Timeout) {
     return Fail(ErrorKind::Unavailable, aResult.error().mMessage,
-                "nothing was changed; look at the platform, then try again");
+                "nothing was changed; check the platform, then retry");
   }
   return aResult;
 }
 
 template<typename T, typename Start>
-Result<T> CallUntilDone(const SyncObjectStore::Options& aOptions,
-                        Repeat aRepeat, Start aStart)
+Result<T> CallWithRetries(const SyncObjectStore::Options& aOptions,
+                          RetryPolicy aPolicy, Start aStart)
 {
   Backoff backoff(aOptions.mFirstPause, aOptions.mLongestPause, aOptions.mSeed);
   for (unsigned attempt = 1;; ++attempt) {
-    Result<T> result = Begin<T>(aStart).get();
+    Result<T> result = StartCall<T>(aStart).get();
     if (result || attempt >= aOptions.mAttempts ||
-        !MayRepeat(result.error(), aRepeat)) {
-      return aRepeat == Repeat::Always ? WithoutEffect(std::move(result))
-                                       : result;
+        !MayRetry(result.error(), aPolicy)) {
+      return aPolicy == RetryPolicy::Always
+               ? TimeoutToUnavailable(std::move(result))
+               : result;
     }
     aOptions.mPause(backoff.Next());
   }
@@ -81,18 +82,19 @@
 
 Result<Object> SyncObjectStore::Get(std::string_view aKey)
 {
-  return CallUntilDone<Object>(mOptions, Repeat::Always,
-                               [&](ObjectStore::Done<Object> aDone) {
-                                 mStore->Get(aKey, std::move(aDone));
-                               });
+  return CallWithRetries<Object>(mOptions, RetryPolicy::Always,
+                                 [&](ObjectStore::Done<Object> aDone) {
+                                   mStore->Get(aKey, std::move(aDone));
+                                 });
 }
 
 Result<std::uint64_t> SyncObjectStore::Put(std::string_view aKey,
                                            const std::string& aValue,
                                            WriteCondition aCondition)
 {
-  return CallUntilDone<std::uint64_t>(
-    mOptions, Repeat::IfNotDone, [&](ObjectStore::Done<std::uint64_t> aDone) {
+  return CallWithRetries<std::uint64_t>(
+    mOptions, RetryPolicy::IfNotDone,
+    [&](ObjectStore::Done<std::uint64_t> aDone) {
       mStore->Put(aKey, aValue, aCondition, std::move(aDone));
     });
 }
@@ -100,16 +102,17 @@
 Result<std::uint64_t> SyncObjectStore::Delete(std::string_view aKey,
                                               WriteCondition aCondition)
 {
-  return CallUntilDone<std::uint64_t>(
-    mOptions, Repeat::IfNotDone, [&](ObjectStore::Done<std::uint64_t> aDone) {
+  return CallWithRetries<std::uint64_t>(
+    mOptions, RetryPolicy::IfNotDone,
+    [&](ObjectStore::Done<std::uint64_t> aDone) {
       mStore->Delete(aKey, aCondition, std::move(aDone));
     });
 }
 
 Result<std::vector<ObjectName>> SyncObjectStore::List(std::string_view aPrefix)
 {
-  return CallUntilDone<std::vector<ObjectName>>(
-    mOptions, Repeat::Always,
+  return CallWithRetries<std::vector<ObjectName>>(
+    mOptions, RetryPolicy::Always,
     [&](ObjectStore::Done<std::vector<ObjectName>> aDone) {
       mStore->List(aPrefix, std::move(aDone));
     });
@@ -120,17 +123,18 @@
 {
   std::vector<Object> out;
   out.reserve(aKeys.size());
-  for (std::size_t first = 0; first < aKeys.size(); first += kReadsAtOnce) {
-    std::size_t end = std::min(aKeys.size(), first + kReadsAtOnce);
+  for (std::size_t first = 0; first < aKeys.size();
+       first += kMaxParallelReads) {
+    std::size_t end = std::min(aKeys.size(), first + kMaxParallelReads);
     std::vector<std::future<Result<Object>>> reads;
     for (std::size_t i = first; i < end; ++i) {
-      reads.push_back(Begin<Object>([&](ObjectStore::Done<Object> aDone) {
+      reads.push_back(StartCall<Object>([&](ObjectStore::Done<Object> aDone) {
         mStore->Get(aKeys[i], std::move(aDone));
       }));
     }
     for (std::size_t i = first; i < end; ++i) {
       Result<Object> read = reads[i - first].get();
-      if (!read && MayRepeat(read.error(), Repeat::Always)) {
+      if (!read && MayRetry(read.error(), RetryPolicy::Always)) {
         read = Get(aKeys[i]);
       }
       if (!read) {
--- a/src/store/SyncObjectStore.h
+++ b/src/store/SyncObjectStore.h
@@ -10,28 +10,29 @@
 
 namespace heatherplank {
 
-/** Blocking calls of an object store, for commands and for the administration
- * API's own thread. Sends again what is safe to send again, with back-off:
- * reads after Unavailable and Timeout, writes after Unavailable only.
+/** Blocking calls of an object store, for commands and for the thread of the
+ * administration API. Retries with back-off where that is safe: reads after
+ * Unavailable and Timeout, writes after Unavailable only.
  *
  * Thread safe if the store is. Never call it on a thread that runs the store's
- * callbacks: it would wait for itself.
+ * callbacks: it would deadlock.
  */
 class SyncObjectStore
 {
 public:
   struct Options
   {
-    /** Tries of one call. */
+    /** Attempts per call, the first included. */
     unsigned mAttempts = 6;
     Duration mFirstPause = std::chrono::milliseconds(50);
     Duration mLongestPause = std::chrono::seconds(1);
     std::uint64_t mSeed = 1;
-    /** Waits between tries; tests put in a paused clock. */
+    /** Waits between attempts; tests replace it to avoid sleeping. */
     std::function<void(Duration)> mPause;
   };
 
-  /** Pauses by sleeping unless aOptions says otherwise. aStore outlives it. */
+  /** Sleeps between attempts unless aOptions has mPause. aStore must outlive
+   * this object. */
   SyncObjectStore(ObjectStore& aStore, Options aOptions);
 
   Result<Object> Get(std::string_view aKey);
@@ -41,10 +42,10 @@
                                WriteCondition aCondition);
   Result<std::vector<ObjectName>> List(std::string_view aPrefix);
 
-  /** Reads several objects at once; the first failure stands for all. */
+  /** Reads several objects in parallel; returns the first error, if any. */
   Result<std::vector<Object>> GetAll(const std::vector<std::string>& aKeys);
 
-  /** Waits as long as aOptions' mPause does. */
+  /** Waits by the mPause of the options. */
   void Pause(Duration aFor) { mOptions.mPause(aFor); }
   const Options& GetOptions() const { return mOptions; }
 
--- a/tests/HostCallsTest.cpp
+++ b/tests/HostCallsTest.cpp
@@ -8,8 +8,8 @@
 
 namespace {
 
-HttpRequest Call(http::verb aVerb, const std::string& aTarget,
-                 const std::string& aBody = {})
+HttpRequest MakeRequest(http::verb aVerb, const std::string& aTarget,
+                        const std::string& aBody = {})
 {
   HttpRequest out(aVerb, aTarget, 11);
   out.body() = aBody;
@@ -18,33 +18,37 @@
 
 Result<HostAnnouncement> Put(const std::string& aBody)
 {
-  return ReadHostCall(Call(http::verb::put, "/api/instances/i-1", aBody));
+  return ReadHostCall(
+    MakeRequest(http::verb::put, "/api/instances/i-1", aBody));
 }
 
-const char* const kGood =
+const char* const kValidBody =
   R"({"Service":"s","Address":"10.0.0.1:80","Zone":"z","Version":"v1",)"
   R"("Slots":2,"State":"draining","ColdLeftMs":1500,"Seq":4,)"
   R"("born":1700000000000})";
 
-struct Fault
+struct InvalidBody
 {
-  const char* mWhat;
+  const char* mName;
   const char* mBody;
 };
 
-const Fault kFaults[] = {
-  { "no body", "" },
+const InvalidBody kInvalidBodies[] = {
+  { "empty body", "" },
   { "not JSON", "{" },
-  { "a list", "[]" },
+  { "a JSON array", "[]" },
   { "no service", R"({"Slots":2,"State":"ready","Seq":4})" },
-  { "service of another type",
+  { "service of the wrong type",
     R"({"Service":7,"Slots":2,"State":"ready","Seq":4})" },
   { "unknown state", R"({"Service":"s","Slots":2,"State":"up","Seq":4})" },
-  { "state of another type", R"({"Service":"s","Slots":2,"State":1,"Seq":4})" },
-  { "no count", R"({"Service":"s","Slots":2,"State":"ready"})" },
-  { "count as text", R"({"Service":"s","Slots":2,"State":"ready","Seq":"4"})" },
-  { "negative count", R"({"Service":"s","Slots":2,"State":"ready","Seq":-4})" },
-  { "no slots", R"({"Service":"s","Slots":0,"State":"ready","Seq":4})" },
+  { "state of the wrong type",
+    R"({"Service":"s","Slots":2,"State":1,"Seq":4})" },
+  { "no sequence number", R"({"Service":"s","Slots":2,"State":"ready"})" },
+  { "sequence number as text",
+    R"({"Service":"s","Slots":2,"State":"ready","Seq":"4"})" },
+  { "negative sequence number",
+    R"({"Service":"s","Slots":2,"State":"ready","Seq":-4})" },
+  { "zero slots", R"({"Service":"s","Slots":0,"State":"ready","Seq":4})" },
   { "start time as text",
     R"({"Service":"s","Slots":2,"State":"ready","Seq":4,"born":"x"})" },
   { "start time with a fraction",
@@ -55,9 +59,9 @@
 
 TEST_GROUP(HostCalls){};
 
-TEST(HostCalls, ReadsAnAnnouncement)
+TEST(HostCalls, ParsesAHeartbeat)
 {
-  auto read = Put(kGood);
+  auto read = Put(kValidBody);
   CHECK_TRUE(read.has_value());
   STRCMP_EQUAL("i-1", read->mId.c_str());
   STRCMP_EQUAL("s", read->mService.c_str());
@@ -68,33 +72,37 @@
   CHECK_EQUAL(2, read->mSlots);
 }
 
-TEST(HostCalls, ReadsAFarewell)
+TEST(HostCalls, ParsesADeregistration)
 {
-  auto read = ReadHostCall(Call(http::verb::delete_, "/api/instances/i-1"));
+  auto read =
+    ReadHostCall(MakeRequest(http::verb::delete_, "/api/instances/i-1"));
   CHECK(read->mPhase == HostPhase::Gone);
   CHECK_FALSE(read->mStartedAt.has_value());
   read = ReadHostCall(
-    Call(http::verb::delete_, "/api/instances/i-1", R"({"born":5})"));
+    MakeRequest(http::verb::delete_, "/api/instances/i-1", R"({"born":5})"));
   CHECK_EQUAL(5, *read->mStartedAt);
 }
 
-// Entries and calls may come from other writers: fields missing or of another
-// type, a state that nobody names. They name no host.
-TEST(HostCalls, RefusesWhatNamesNoHost)
+// Requests may come from other software, with fields missing or of the wrong
+// type, or with an unknown state. They must not register a host.
+TEST(HostCalls, RejectsRequestsThatIdentifyNoHost)
 {
-  for (const Fault& it : kFaults) {
-    CHECK_FALSE_TEXT(Put(it.mBody).has_value(), it.mWhat);
+  for (const InvalidBody& it : kInvalidBodies) {
+    CHECK_FALSE_TEXT(Put(it.mBody).has_value(), it.mName);
   }
-  CHECK_FALSE(ReadHostCall(Call(http::verb::get, "/api/instances/i-1", kGood))
-                .has_value());
   CHECK_FALSE(
-    ReadHostCall(Call(http::verb::put, "/api/instances/", kGood)).has_value());
-  CHECK_FALSE(ReadHostCall(Call(http::verb::put, "/other", kGood)).has_value());
+    ReadHostCall(MakeRequest(http::verb::get, "/api/instances/i-1", kValidBody))
+      .has_value());
+  CHECK_FALSE(
+    ReadHostCall(MakeRequest(http::verb::put, "/api/instances/", kValidBody))
+      .has_value());
+  CHECK_FALSE(ReadHostCall(MakeRequest(http::verb::put, "/other", kValidBody))
+                .has_value());
 }
 
-TEST(HostCalls, AnswersWithTheReason)
+TEST(HostCalls, RejectionStatesTheReason)
 {
-  auto call = Call(http::verb::put, "/api/instances/i-1", "{}");
+  auto call = MakeRequest(http::verb::put, "/api/instances/i-1", "{}");
   CHECK(AnswerHostCall(call, {}).result() == http::status::ok);
   auto refused = AnswerHostCall(call, tl::unexpected(Put("{}").error()));
   CHECK(refused.result() == http::status::bad_request);
--- a/tests/HttpObjectStoreTest.cpp
+++ b/tests/HttpObjectStoreTest.cpp
@@ -16,16 +16,16 @@
 
 namespace {
 
-/** What the platform does with one call. */
+/** The platform's reply to a request. */
 struct Reply
 {
   unsigned mStatus = 200;
-  std::string mTag;
+  std::string mEtag;
   std::string mBody;
-  /** The connection ends without an answer. */
-  bool mLost = false;
-  /** The answer never comes. */
-  bool mSilent = false;
+  /** The connection is closed without a response. */
+  bool mClosesConnection = false;
+  /** The request never gets a response. */
+  bool mNeverResponds = false;
 };
 
 template<typename T>
@@ -41,10 +41,10 @@
   if (!aResult.has_value()) {
     return std::string(ToString(aResult.error().mKind));
   }
-  return aResult->has_value() ? "news" : "none";
+  return aResult->has_value() ? "newer" : "none";
 }
 
-/** A platform that gives each call the same reply and keeps the last one. */
+/** A platform that gives each request the same reply. */
 class OneReplyPlatform
 {
 public:
@@ -65,10 +65,10 @@
   ~OneReplyPlatform()
   {
     mServer->Stop();
-    mHeld.clear();
+    mPending.clear();
   }
 
-  /** Runs until the call that aStart begins is done; its error, if any. */
+  /** Runs until the call that aStart starts is done; describes its result. */
   template<typename T, typename Start>
   std::string Outcome(Start aStart)
   {
@@ -80,23 +80,25 @@
     return *out;
   }
 
-  HttpRequest mLast;
+  /** The last request received. */
+  HttpRequest mLastRequest;
 
 private:
   void Serve(HttpRequest aRequest, HttpServer::Respond aRespond)
   {
-    mLast = std::move(aRequest);
-    if (mReply.mSilent) {
-      mHeld.push_back(std::move(aRespond));
+    mLastRequest = std::move(aRequest);
+    if (mReply.mNeverResponds) {
+      mPending.push_back(std::move(aRespond));
       return;
     }
-    if (mReply.mLost) {
+    if (mReply.mClosesConnection) {
       return;
     }
-    auto response = MakeResponse(mLast, http::int_to_status(mReply.mStatus),
-                                 "application/json", mReply.mBody);
-    if (!mReply.mTag.empty()) {
-      response.set(http::field::etag, mReply.mTag);
+    auto response =
+      MakeResponse(mLastRequest, http::int_to_status(mReply.mStatus),
+                   "application/json", mReply.mBody);
+    if (!mReply.mEtag.empty()) {
+      response.set(http::field::etag, mReply.mEtag);
     }
     aRespond(std::move(response));
   }
@@ -105,7 +107,7 @@
   boost::asio::io_context mContext;
   std::shared_ptr<HttpServer> mServer;
   std::optional<HttpObjectStore> mStore;
-  std::vector<HttpServer::Respond> mHeld;
+  std::vector<HttpServer::Respond> mPending;
 };
 
 using Names = std::vector<ObjectName>;
@@ -115,7 +117,7 @@
 
 TEST_GROUP(HttpObjectStore){};
 
-TEST(HttpObjectStore, TellsEachOutcomeApart)
+TEST(HttpObjectStore, MapsEachReplyToAnOutcome)
 {
   struct Case
   {
@@ -127,7 +129,7 @@
     const char* mList;
   };
   const Case cases[] = {
-    { "success", { 200, "\"9\"", "[]" }, "ok", "ok", "news", "ok" },
+    { "success", { 200, "\"9\"", "[]" }, "ok", "ok", "newer", "ok" },
     { "no version",
       { 200, "", "[]" },
       "malformed",
@@ -195,25 +197,25 @@
       "forbidden",
       "forbidden",
       "forbidden" },
-    { "odd status",
+    { "unexpected status",
       { 302, "", "" },
       "malformed",
       "malformed",
       "malformed",
       "malformed" },
-    { "lost answer",
+    { "lost response",
       { 200, "", "", true },
       "timeout",
       "timeout",
       "timeout",
       "timeout" },
-    { "no answer",
+    { "no response",
       { 200, "", "", false, true },
       "timeout",
       "timeout",
       "timeout",
       "timeout" },
-    { "huge value",
+    { "value above the size limit",
       { 200, "\"9\"", std::string(1000001, 'x') },
       "malformed",
       "ok",
@@ -253,43 +255,44 @@
   }
 }
 
-TEST(HttpObjectStore, SendsKeysAndConditionsAsTheContractSays)
+TEST(HttpObjectStore, EncodesKeysAndConditionsPerContract)
 {
   OneReplyPlatform platform({ 200, "\"9\"", "[]" });
   platform.Outcome<std::uint64_t>([](auto& aStore, auto aDone) {
     aStore.Put("a/b c%", "v", WriteCondition::IfVersion(7), aDone);
   });
   STRCMP_EQUAL("/v1/objects/a/b%20c%25",
-               std::string(platform.mLast.target()).c_str());
-  STRCMP_EQUAL("\"7\"",
-               std::string(platform.mLast[http::field::if_match]).c_str());
+               std::string(platform.mLastRequest.target()).c_str());
+  STRCMP_EQUAL(
+    "\"7\"", std::string(platform.mLastRequest[http::field::if_match]).c_str());
   platform.Outcome<std::uint64_t>([](auto& aStore, auto aDone) {
     aStore.Delete("k", WriteCondition::IfAbsent(), aDone);
   });
-  STRCMP_EQUAL("*",
-               std::string(platform.mLast[http::field::if_none_match]).c_str());
+  STRCMP_EQUAL(
+    "*",
+    std::string(platform.mLastRequest[http::field::if_none_match]).c_str());
   platform.Outcome<Change>([](auto& aStore, auto aDone) {
     aStore.Watch("k", 4, std::chrono::seconds(20), aDone);
   });
   STRCMP_EQUAL("/v1/objects/k?after=4&wait_ms=20000",
-               std::string(platform.mLast.target()).c_str());
+               std::string(platform.mLastRequest.target()).c_str());
 }
 
-// A replica of the platform that is behind answers a watch with a version that
-// the watcher has already seen. Taken as news, the watcher would go back to an
-// older value.
-TEST(HttpObjectStore, WatchTakesNoStaleVersionForNews)
+// Guards against a watcher that reverts to an older value: a stale replica of
+// the platform responds to a watch with a version that the watcher has already
+// seen.
+TEST(HttpObjectStore, WatchIgnoresAStaleVersion)
 {
   OneReplyPlatform platform({ 200, "\"9\"", "old" });
   for (std::uint64_t after : { 8, 9, 10 }) {
     auto outcome = platform.Outcome<Change>([&](auto& aStore, auto aDone) {
       aStore.Watch("k", after, Duration(0), aDone);
     });
-    STRCMP_EQUAL(after < 9 ? "news" : "none", outcome.c_str());
+    STRCMP_EQUAL(after < 9 ? "newer" : "none", outcome.c_str());
   }
 }
 
-TEST(HttpObjectStore, RefusesAnOversizedValueWithoutSendingIt)
+TEST(HttpObjectStore, RejectsAnOversizedValueWithoutSendingIt)
 {
   OneReplyPlatform platform({ 200, "\"9\"", "" });
   auto outcome = platform.Outcome<std::uint64_t>([](auto& aStore, auto aDone) {
@@ -297,5 +300,5 @@
                WriteCondition::Always(), aDone);
   });
   STRCMP_EQUAL("too_large", outcome.c_str());
-  CHECK_TRUE(platform.mLast.target().empty());
+  CHECK_TRUE(platform.mLastRequest.target().empty());
 }
--- a/tests/HttpTest.cpp
+++ b/tests/HttpTest.cpp
@@ -22,14 +22,14 @@
 TEST_GROUP(Http)
 {
   boost::asio::io_context mContext;
-  Address mAny = ParseAddress("127.0.0.1:0").value();
+  Address mAnyPort = ParseAddress("127.0.0.1:0").value();
 };
 
-TEST(Http, AnswersOverOneKeptConnection)
+TEST(Http, SeveralRequestsShareOneKeepAliveConnection)
 {
   auto server =
     HttpServer::Make(
-      mContext.get_executor(), mAny,
+      mContext.get_executor(), mAnyPort,
       [](const HttpRequest& aRequest, const HttpServer::Respond& aRespond) {
         aRespond(MakeResponse(aRequest, http::status::ok, "text/plain",
                               std::string(aRequest.target())));
@@ -37,12 +37,12 @@
       .value();
   auto client = HttpClient::Make(mContext.get_executor(), server->Local(), 1);
   std::string seen;
-  int left = 3;
+  int remaining = 3;
   for (const char* target : { "/a", "/b", "/c" }) {
     client->Send(MakeGet(target), std::chrono::seconds(5),
                  [&](Result<HttpResponse> aResult) {
                    seen += aResult.value().body();
-                   if (--left == 0) {
+                   if (--remaining == 0) {
                      server->Stop();
                      mContext.stop();
                    }
@@ -52,13 +52,13 @@
   STRCMP_EQUAL("/a/b/c", seen.c_str());
 }
 
-TEST(Http, TellsNotWrittenFromUnknown)
+TEST(Http, CancelDistinguishesUnwrittenFromUnknown)
 {
-  std::vector<HttpServer::Respond> held;
+  std::vector<HttpServer::Respond> pending;
   auto server =
-    HttpServer::Make(mContext.get_executor(), mAny,
+    HttpServer::Make(mContext.get_executor(), mAnyPort,
                      [&](const HttpRequest&, HttpServer::Respond aRespond) {
-                       held.push_back(std::move(aRespond));
+                       pending.push_back(std::move(aRespond));
                      })
       .value();
   auto client = HttpClient::Make(mContext.get_executor(), server->Local(), 1);
@@ -71,21 +71,22 @@
   };
   auto first = client->Send(MakeGet("/"), std::chrono::seconds(30), done);
   auto second = client->Send(MakeGet("/"), std::chrono::seconds(30), done);
-  while (held.empty()) {
+  while (pending.empty()) {
     mContext.run_one();
   }
   client->Cancel(second);
   client->Cancel(first);
   mContext.run();
-  held.clear();
+  pending.clear();
   CHECK_TRUE(kinds[0] == ErrorKind::Unavailable);
   CHECK_TRUE(kinds[1] == ErrorKind::Timeout);
 }
 
-TEST(Http, NamesThePortInUse)
+TEST(Http, BindErrorNamesTheAddressInUse)
 {
   auto handler = [](const HttpRequest&, const HttpServer::Respond&) {};
-  auto first = HttpServer::Make(mContext.get_executor(), mAny, handler).value();
+  auto first =
+    HttpServer::Make(mContext.get_executor(), mAnyPort, handler).value();
   auto second =
     HttpServer::Make(mContext.get_executor(), first->Local(), handler);
   CHECK_FALSE(second.has_value());
--- a/tests/PlatformPacketsTest.cpp
+++ b/tests/PlatformPacketsTest.cpp
@@ -10,12 +10,12 @@
 
 namespace {
 
-/** The opening packet of the contract's example. */
+/** The opening packet in the contract's example. */
 const Bytes kSyn = { 0x9c, 0x41, 0x64, 0x40, 0x00, 0x07, 0x01, 0xbb, 0xc6,
                      0x12, 0x00, 0x01, 0x00, 0x00, 0x00, 0x00, 0xa1, 0xb2,
                      0xc3, 0xd5, 0x40, 0x00, 0x00, 0x00, 0x00, 0x00, 0x00,
                      0x00, 0x11, 0x22, 0x33, 0x44, 0x00, 0x00, 0x00, 0x00 };
-/** The reset that the contract's example answers it with. */
+/** The reset in the contract's example, the response to kSyn. */
 const Bytes kReset = { 0x01, 0xbb, 0xc6, 0x12, 0x00, 0x01, 0x9c, 0x41, 0x64,
                        0x40, 0x00, 0x07, 0x00, 0x00, 0x00, 0x00, 0x00, 0x00,
                        0x00, 0x00, 0x08, 0x00, 0x00, 0x00, 0x00, 0x00, 0x00,
@@ -28,25 +28,26 @@
   PlatformPackets mPackets;
 };
 
-TEST(PlatformPackets, ReadsTheExample)
+TEST(PlatformPackets, ParsesTheOpeningPacketOfTheContract)
 {
-  auto read = mPackets.Parse(kSyn);
-  CHECK_TRUE(read.has_value());
-  STRCMP_EQUAL("100.64.0.7:40001", read->mSource.ToString().c_str());
-  STRCMP_EQUAL("198.18.0.1:443", read->mDestination.ToString().c_str());
-  CHECK_TRUE(read->mSyn);
-  CHECK_FALSE(read->mAck || read->mFin || read->mReset || read->mBounced);
-  CHECK_EQUAL(0x11223344, read->mSequence);
-  CHECK_EQUAL(0, read->mDataLength);
+  auto packet = mPackets.Parse(kSyn);
+  CHECK_TRUE(packet.has_value());
+  STRCMP_EQUAL("100.64.0.7:40001", packet->mSource.ToString().c_str());
+  STRCMP_EQUAL("198.18.0.1:443", packet->mDestination.ToString().c_str());
+  CHECK_TRUE(packet->mSyn);
+  CHECK_FALSE(packet->mAck || packet->mFin || packet->mReset ||
+              packet->mBounced);
+  CHECK_EQUAL(0x11223344, packet->mSequence);
+  CHECK_EQUAL(0, packet->mDataLength);
 }
 
-TEST(PlatformPackets, MakesTheResetOfTheExample)
+TEST(PlatformPackets, BuildsTheResetOfTheContract)
 {
-  auto read = mPackets.Parse(kSyn);
-  CHECK_TRUE(mPackets.MakeReset(read->FlowFromCaller(), 0) == kReset);
+  auto packet = mPackets.Parse(kSyn);
+  CHECK_TRUE(mPackets.MakeReset(packet->FlowFromCaller(), 0) == kReset);
 }
 
-TEST(PlatformPackets, TagsOnlyWhatTheSumLeavesOut)
+TEST(PlatformPackets, TagChangesOnlyFieldsOutsideTheChecksum)
 {
   Bytes tagged = kSyn;
   tagged[20] |= 32;
@@ -59,7 +60,7 @@
   CHECK_TRUE(tagged == kSyn);
 }
 
-TEST(PlatformPackets, RefusesCutAndOverlongDatagrams)
+TEST(PlatformPackets, RejectsTruncatedAndOverlongDatagrams)
 {
   for (std::size_t n = 0; n < kSyn.size(); ++n) {
     CHECK_FALSE(mPackets.Parse(ByteView(kSyn).first(n)).has_value());
--- a/tests/PlatformStoreTest.cpp
+++ b/tests/PlatformStoreTest.cpp
@@ -14,11 +14,11 @@
 
 namespace {
 
-/** Writes the answer of a call into a place; nothing until it came. */
+/** Returns a callback that stores a call's result in aResultOut. */
 template<typename T>
-auto Into(std::optional<Result<T>>& aPlace)
+auto StoreIn(std::optional<Result<T>>& aResultOut)
 {
-  return [&aPlace](Result<T> aResult) { aPlace = std::move(aResult); };
+  return [&aResultOut](Result<T> aResult) { aResultOut = std::move(aResult); };
 }
 
 } // namespace
@@ -40,23 +40,23 @@
     mStandIn.Write("config", "main", { { "Version", 7 } });
   }
 
-  void Play(Duration aFor = 200ms)
+  void RunFor(Duration aFor = 200ms)
   {
     mContext.run_for(aFor);
   }
 
   std::uint64_t Version()
   {
-    mStore->Get("config/main", Into(mGot));
-    Play();
+    mStore->Get("config/main", StoreIn(mGot));
+    RunFor();
     return (*mGot)->mVersion;
   }
 
-  ErrorKind KindOfGet()
+  ErrorKind ErrorOfGet()
   {
     mGot.reset();
-    mStore->Get("config/main", Into(mGot));
-    Play(2000ms);
+    mStore->Get("config/main", StoreIn(mGot));
+    RunFor(2000ms);
     CHECK_TRUE(mGot.has_value());
     CHECK_FALSE(mGot->has_value());
     return mGot->error().mKind;
@@ -67,143 +67,145 @@
 {
   CHECK_TRUE(Version() > 0);
   STRCMP_EQUAL(R"({"Version":7})", (*mGot)->mValue.c_str());
-  mStore->Get("config/none", Into(mGot));
-  Play();
+  mStore->Get("config/none", StoreIn(mGot));
+  RunFor();
   CHECK(mGot->error().mKind == ErrorKind::NotFound);
 }
 
-TEST(PlatformStore, HearsOfAChangeAndGoesOnFromThere)
+TEST(PlatformStore, WatchReturnsAChangeAndResumesAfterIt)
 {
   std::uint64_t version = Version();
-  mStore->Watch("config/main", version, 2s, Into(mWatched));
-  Play();
+  mStore->Watch("config/main", version, 2s, StoreIn(mWatched));
+  RunFor();
   CHECK_FALSE(mWatched.has_value());
   mStandIn.Write("config", "other", 1);
-  Play();
-  // An object beside it changed: nothing new of this one.
+  RunFor();
+  // Another object of the kind changed, so the watch ends with no new version.
   CHECK_FALSE((*mWatched)->has_value());
   mWatched.reset();
-  mStore->Watch("config/main", version, 2s, Into(mWatched));
+  mStore->Watch("config/main", version, 2s, StoreIn(mWatched));
   mStandIn.Write("config", "main", { { "Version", 9 } });
-  Play();
+  RunFor();
   STRCMP_EQUAL(R"({"Version":9})", (**mWatched)->mValue.c_str());
 }
 
-TEST(PlatformStore, AWatchEndsEmptyWhenItsTimeIsUp)
+TEST(PlatformStore, WatchWithoutAChangeEndsEmptyAfterItsWait)
 {
-  mStore->Watch("config/main", Version(), 100ms, Into(mWatched));
-  Play(500ms);
+  mStore->Watch("config/main", Version(), 100ms, StoreIn(mWatched));
+  RunFor(500ms);
   CHECK_TRUE(mWatched->has_value());
   CHECK_FALSE((*mWatched)->has_value());
 }
 
-// The store dropped its history while a balancer was cut off, and a change was
-// among it. The balancer must see the change, not wait for the next one.
-TEST(PlatformStore, AForgottenHistoryIsMadeGoodByAList)
+// Guards against a missed change: the store discarded its history, which held
+// the change, while a balancer could not reach it. The balancer must see that
+// change, not only the next one.
+TEST(PlatformStore, WatchListsTheKindAfterHistoryWasDiscarded)
 {
   std::uint64_t version = Version();
   mStandIn.Write("config", "main", { { "Version", 9 } });
   mStandIn.Compact();
-  mStore->Watch("config/main", version, 2s, Into(mWatched));
-  Play();
+  mStore->Watch("config/main", version, 2s, StoreIn(mWatched));
+  RunFor();
   STRCMP_EQUAL(R"({"Version":9})", (**mWatched)->mValue.c_str());
-  // Without a change it waits on from where the list was made.
+  // Without a change, the next watch resumes from the listing's revision.
   mWatched.reset();
-  mStore->Watch("config/main", (**mGot).mVersion + 1000, 100ms, Into(mWatched));
-  Play(400ms);
+  mStore->Watch("config/main", (**mGot).mVersion + 1000, 100ms,
+                StoreIn(mWatched));
+  RunFor(400ms);
   CHECK_TRUE(mWatched->has_value());
 }
 
-TEST(PlatformStore, TellsRefusalsFromUnknownOutcomes)
+TEST(PlatformStore, DistinguishesRejectionsFromUnknownOutcomes)
 {
   mStandIn.SetFaults({ .mBusy = true });
-  CHECK(KindOfGet() == ErrorKind::Unavailable);
+  CHECK(ErrorOfGet() == ErrorKind::Unavailable);
   mStandIn.SetFaults({ .mMany = true });
-  CHECK(KindOfGet() == ErrorKind::Unavailable);
+  CHECK(ErrorOfGet() == ErrorKind::Unavailable);
   mStandIn.SetFaults({ .mSilent = true });
-  CHECK(KindOfGet() == ErrorKind::Timeout);
+  CHECK(ErrorOfGet() == ErrorKind::Timeout);
   mStandIn.SetFaults({});
   CHECK_TRUE(Version() > 0);
 }
 
-TEST(PlatformStore, WritesUnderConditions)
+TEST(PlatformStore, HonoursWriteConditions)
 {
   mStore->Put("mine/a", R"({"x":1})", WriteCondition::IfAbsent(),
-              Into(mWritten));
-  Play();
+              StoreIn(mWritten));
+  RunFor();
   CHECK_TRUE(mWritten->has_value());
   std::uint64_t version = **mWritten;
   mStore->Put("mine/a", R"({"x":2})", WriteCondition::IfAbsent(),
-              Into(mWritten));
-  Play();
+              StoreIn(mWritten));
+  RunFor();
   CHECK(mWritten->error().mKind == ErrorKind::Conflict);
   mStore->Put("mine/a", R"({"x":2})", WriteCondition::IfVersion(version - 1),
-              Into(mWritten));
-  Play();
+              StoreIn(mWritten));
+  RunFor();
   CHECK(mWritten->error().mKind == ErrorKind::Conflict);
   mStore->Put("mine/a", R"({"x":2})", WriteCondition::IfVersion(version),
-              Into(mWritten));
-  Play();
+              StoreIn(mWritten));
+  RunFor();
   CHECK_TRUE(**mWritten > version);
   std::optional<Result<std::vector<ObjectName>>> listed;
-  mStore->List("mine/", Into(listed));
-  Play();
+  mStore->List("mine/", StoreIn(listed));
+  RunFor();
   CHECK_EQUAL(1, (*listed)->size());
   STRCMP_EQUAL("mine/a", (**listed)[0].mKey.c_str());
-  mStore->Delete("mine/a", WriteCondition::Always(), Into(mWritten));
-  Play();
+  mStore->Delete("mine/a", WriteCondition::Always(), StoreIn(mWritten));
+  RunFor();
   CHECK_TRUE(mWritten->has_value());
 }
 
-TEST(PlatformStore, ReadsAListOfSeveralPages)
+TEST(PlatformStore, ListsAKindOfSeveralPages)
 {
   for (int i = 0; i < 23; ++i) {
     mStandIn.Write("many", "n" + std::to_string(100 + i), 1);
   }
   std::optional<Result<std::vector<ObjectName>>> listed;
-  mStore->List("many/", Into(listed));
-  Play();
+  mStore->List("many/", StoreIn(listed));
+  RunFor();
   CHECK_EQUAL(23, (*listed)->size());
   STRCMP_EQUAL("many/n122", (**listed)[22].mKey.c_str());
 }
 
-// The answer to a write was lost, though it took effect. It must not be told
-// as a refusal.
-TEST(PlatformStore, ALostAnswerIsAnUnknownOutcome)
+// Guards against a write reported as rejected although it took effect, when
+// only its response was lost.
+TEST(PlatformStore, WriteWithALostResponseGivesTimeout)
 {
   mStandIn.SetFaults({ .mLosesAnswers = true });
-  mStore->Put("mine/a", "{}", WriteCondition::IfAbsent(), Into(mWritten));
-  Play(2000ms);
+  mStore->Put("mine/a", "{}", WriteCondition::IfAbsent(), StoreIn(mWritten));
+  RunFor(2000ms);
   CHECK(mWritten->error().mKind == ErrorKind::Timeout);
   mStandIn.SetFaults({});
-  mStore->Get("mine/a", Into(mGot));
-  Play();
+  mStore->Get("mine/a", StoreIn(mGot));
+  RunFor();
   CHECK_TRUE(mGot->has_value());
 }
 
-// Guards against an order at the store that a change beside it hides, or that a
-// forgotten history swallows.
+// Guards against a missed drain order: one that follows another change of the
+// kind, or whose event was in history that the store has discarded.
 TEST(PlatformStore, WatchesTheNamesOfAKind)
 {
   std::optional<Result<NameChange>> names;
-  mStore->WatchNames("drains/", 0, 0ms, Into(names));
-  Play();
+  mStore->WatchNames("drains/", 0, 0ms, StoreIn(names));
+  RunFor();
   CHECK_TRUE((*names)->mNames->empty());
   std::uint64_t asOf = (*names)->mAsOf;
   CHECK_TRUE(asOf > 0);
   names.reset();
-  mStore->WatchNames("drains/", asOf, 1s, Into(names));
-  Play();
+  mStore->WatchNames("drains/", asOf, 1s, StoreIn(names));
+  RunFor();
   CHECK_FALSE(names.has_value());
   mStandIn.Write("drains", "a", boost::json::object{});
-  Play();
+  RunFor();
   CHECK_EQUAL(1, (*names)->mNames->size());
   STRCMP_EQUAL("a", (*names)->mNames->front().c_str());
   asOf = (*names)->mAsOf;
   mStandIn.Write("drains", "b", boost::json::object{});
   mStandIn.Compact();
   names.reset();
-  mStore->WatchNames("drains/", asOf, 1s, Into(names));
-  Play();
+  mStore->WatchNames("drains/", asOf, 1s, StoreIn(names));
+  RunFor();
   CHECK_EQUAL(2, (*names)->mNames->size());
 }
--- a/tests/RouteDocumentTest.cpp
+++ b/tests/RouteDocumentTest.cpp
@@ -13,7 +13,7 @@
   RouteDocument mReader;
 };
 
-TEST(RouteDocument, ReadsRoutes)
+TEST(RouteDocument, ParsesRoutes)
 {
   auto read = mReader.Read(R"({"Version":7,"Routes":[
     {"Name":"a","Host":"198.18.0.1","PathPrefix":"/8443/","Type":"unsafe",
@@ -45,9 +45,9 @@
   CHECK_TRUE(x > 8850 && x < 9150);
 }
 
-// One entry of the operator's document can't be read. The routes beside it
-// serve other callers and must stay.
-TEST(RouteDocument, LeavesOutWhatCanNotBeRead)
+// Guards against one invalid route in the operator's document disabling the
+// valid ones, which serve other callers.
+TEST(RouteDocument, SkipsInvalidRoutes)
 {
   auto read = mReader.Read(R"({"Version":7,"Routes":[
     5, {"Name":"a"}, {"Host":"198.18.0.1","PathPrefix":"8443","Service":"x"},
@@ -58,7 +58,7 @@
   CHECK_EQUAL(1, (*read)->mRoutes.size());
 }
 
-TEST(RouteDocument, RefusesWhatIsNoDocument)
+TEST(RouteDocument, RejectsInvalidDocuments)
 {
   for (const char* it :
        { "", "[]", "{}", R"({"Version":0,"Routes":[]})",
@@ -67,8 +67,9 @@
   }
 }
 
-// 0 and nothing are no bound: a host would else get nothing while it is cold.
-TEST(RouteDocument, ReadsWhatColdHostsBear)
+// 0, missing and invalid mean no limit; with a limit of 0 a cold host would get
+// no flows.
+TEST(RouteDocument, ParsesColdRatesOfServices)
 {
   auto read = mReader.Read(R"({"Version":7,"Routes":[],"Services":[
     {"Name":"a","ColdPerS":20.5},{"Name":"b","ColdPerS":0.0},{"Name":"c"},
--- a/tests/StandstillWatchTest.cpp
+++ b/tests/StandstillWatchTest.cpp
@@ -19,25 +19,25 @@
   }
 };
 
-TEST(StandstillWatch, IsQuietWhileTheProcessRuns)
+TEST(StandstillWatch, ReportsNoStallWhileTheProcessRuns)
 {
   for (int i = 0; i < 100; ++i) {
     CHECK(Tick(50ms) == Duration::zero());
   }
 }
 
-// A process is stopped by a signal and wakes seconds later: its timers fire
-// late, and everything that it believes of others is that old.
-TEST(StandstillWatch, NoticesAFreeze)
+// A process is stopped by SIGSTOP and resumes seconds later: its timers fire
+// late, and its state about other processes is that old.
+TEST(StandstillWatch, ReportsAStallAfterSigstop)
 {
   Tick(50ms);
   CHECK(Tick(3s) == 3s);
   CHECK(Tick(50ms) == Duration::zero());
 }
 
-// A machine is suspended. The steady clock stands still meanwhile, so that no
-// time-out passes; only the clock since boot goes on.
-TEST(StandstillWatch, NoticesASuspension)
+// A VM is suspended: the steady clock stops, so that no timeout expires, and
+// only the clock since boot advances.
+TEST(StandstillWatch, ReportsAStallAfterASuspension)
 {
   Tick(50ms);
   CHECK(Tick(50ms, 5s) == 5050ms);
--- a/tests/SyncObjectStoreTest.cpp
+++ b/tests/SyncObjectStoreTest.cpp
@@ -18,10 +18,9 @@
   }
 };
 
-// The platform hangs. An operator only asks which policy is in force, and was
-// told that a change may have taken effect (exit code 5): the time-out of a
-// read was taken for that of a write.
-TEST(SyncObjectStore, AReadWithoutAnAnswerChangedNothing)
+// Guards against a read reported as a possible change (exit code 5): when the
+// platform hangs, the timeout of a read was handled like that of a write.
+TEST(SyncObjectStore, ReadTimeoutReportsThatNothingWasChanged)
 {
   SyncObjectStore calls(mStore, Options());
   mStore.mLosesReads = true;
@@ -31,7 +30,7 @@
   CHECK_EQUAL(5, mPauses);
 }
 
-TEST(SyncObjectStore, AWriteWithoutAnAnswerIsNotSentAgain)
+TEST(SyncObjectStore, WriteTimeoutIsNotRetried)
 {
   SyncObjectStore calls(mStore, Options());
   mStore.mOnWrite = [](const std::string&) { return WriteFault::LostAnswer; };
