--- a/include/heatherplank/Clock.h
+++ b/include/heatherplank/Clock.h
@@ -4,20 +4,20 @@
 
 namespace heatherplank {
 
-/** A point on the monotonic clock; never compared between machines. */
+/** A time on this machine's monotonic clock; not comparable across machines. */
 using Time = std::chrono::steady_clock::time_point;
 
 /** A span of time. */
 using Duration = std::chrono::steady_clock::duration;
 
-/** The runtime's clock behind an interface, so that tests can hold it still.
+/** Interface to the monotonic clock, so that tests can control the time.
  */
 class Clock
 {
 public:
   virtual ~Clock() = default;
 
-  /** The present moment. Thread safe. */
+  /** Returns the current time. Thread safe. */
   virtual Time Now() const = 0;
 };
 
@@ -28,7 +28,7 @@
   Time Now() const override { return std::chrono::steady_clock::now(); }
 };
 
-/** A clock that stands still until it is told to move. Not thread safe. */
+/** A clock that moves only when Advance is called. Not thread safe. */
 class ManualClock final : public Clock
 {
 public:
--- a/include/heatherplank/Configuration.h
+++ b/include/heatherplank/Configuration.h
@@ -13,7 +13,7 @@
 
 namespace heatherplank {
 
-/** How much a request matters; a larger one goes first. */
+/** Priority of a request; a request of higher importance is served first. */
 enum class Importance : std::uint8_t
 {
   Low = 0,
@@ -22,31 +22,31 @@
   Critical = 3,
 };
 
-/** A rule on top of a service: which requests it meets, how they are treated.
- * The first rule of a service that matches applies.
+/** Selects requests of a service and defines how they are handled. The first
+ * matching rule of a service applies.
  */
 struct Rule
 {
-  /** A name for reports ("claims"). */
+  /** Name shown in reports, such as "claims". */
   std::string mName;
-  /** HTTP method that it meets; empty for any. */
+  /** HTTP method to match; empty matches any. */
   std::string mMethod;
-  /** Prefix of the path that it meets; empty for any. */
+  /** Path prefix to match; empty matches any. */
   std::string mPathPrefix;
   Importance mImportance = Importance::Normal;
   /** The request may run at most once. */
   bool mNeverRepeat = false;
-  /** The request may wait; once accepted it is not lost. */
+  /** The request may be queued; once accepted, it is not lost. */
   bool mMayWait = false;
-  /** Longest wait for an answer when the caller states no deadline. */
+  /** Time limit for an answer if the caller states no deadline. */
   Duration mDeadline = std::chrono::seconds(2);
-  /** Most requests of this rule that wait at one host. */
+  /** Maximum number of queued requests of this rule at one host. */
   std::uint32_t mQueueLimit = 256;
 
   bool operator==(const Rule&) const = default;
 };
 
-/** A host that the inventory expects, by name. */
+/** A host that the inventory expects, identified by its name. */
 struct ExpectedHost
 {
   std::string mName;
@@ -61,7 +61,7 @@
 {
   std::string mName;
   ServiceId mId;
-  /** Addresses at which callers reach it. No address has two services. */
+  /** Addresses at which callers reach it; each belongs to one service only. */
   std::vector<Address> mAddresses;
   std::vector<ExpectedHost> mHosts;
   std::uint16_t mSlotsPerHost = 2;
@@ -70,7 +70,7 @@
   bool operator==(const Service&) const = default;
 };
 
-/** The rule that a request meets: the first that matches, or null. Thread safe.
+/** Returns the first rule that matches a request, or null. Thread safe.
  */
 const Rule* FindRule(const Service& aService, std::string_view aMethod,
                      std::string_view aTarget);
@@ -80,32 +80,32 @@
 {
   /** "random", "rendezvous", "two-choices" or "least-latency". */
   std::string mName = "two-choices";
-  /** Weights of the score: broken flows against imbalance. */
+  /** Weights of broken flows and of imbalance in the policy's score. */
   double mBrokenFlowsWeight = 1.0;
   double mImbalanceWeight = 1.0;
 
   bool operator==(const PolicyChoice&) const = default;
 };
 
-/** Inventory, rules and policy, accepted as one version. Immutable once made;
- * shared between threads by reference count.
+/** Inventory, rules and policy, accepted as one version. Immutable once
+ * constructed; shared between threads through ConfigurationPtr.
  */
 struct Configuration
 {
-  /** 0 is "none yet"; a higher one replaces a lower one, never back. */
+  /** 0: no version yet. A version is replaced only by a higher one. */
   std::uint64_t mVersion = 0;
   std::vector<std::string> mDataCentres;
   std::map<ServiceId, Service> mServices;
   PolicyChoice mPolicy;
-  /** Hosts that the operator drains, by name. */
+  /** Names of the hosts that the operator drains. */
   std::vector<std::string> mDrainedHosts;
 
-  /** The service at an address, or null. Thread safe. */
+  /** Returns the service at an address, or null. Thread safe. */
   const Service* FindByAddress(const Address& aAddress) const;
-  /** The service of an id, or null. Thread safe. */
+  /** Returns the service with an id, or null. Thread safe. */
   const Service* Find(ServiceId aId) const;
 
-  /** Address to service; filled when the configuration is made. */
+  /** Maps addresses to services; filled when the configuration is built. */
   std::map<Address, ServiceId> mByAddress;
 };
 
--- a/include/heatherplank/DataCentreDrains.h
+++ b/include/heatherplank/DataCentreDrains.h
@@ -8,12 +8,12 @@
 
 namespace heatherplank {
 
-/** The data centres that the operator drains: hosts there keep the flows that
- * they have and are given no new ones. Immutable use is thread safe. */
+/** The data centres that the operator drains: their hosts keep existing flows
+ * and receive no new ones. Concurrent reads are thread safe. */
 struct DataCentreDrains
 {
-  /** The store's version as of which this holds; a higher one replaces a lower
-   * one, never back. 0: not known. */
+  /** Store version as of which the list is valid; a list is replaced only by
+   * one of a higher version. 0: not known. */
   std::uint64_t mVersion = 0;
   /** In ascending order. */
   std::vector<DataCentreId> mDataCentres;
--- a/include/heatherplank/Error.h
+++ b/include/heatherplank/Error.h
@@ -8,7 +8,7 @@
 
 namespace heatherplank {
 
-/** The kind of a failure; callers branch on it, people read the message. */
+/** The kind of a failure; code branches on it, people read the message. */
 enum class ErrorKind : std::uint8_t
 {
   /** The input (settings, configuration, command line) is wrong. */
@@ -21,26 +21,26 @@
   NotFound,
   /** A conditional update lost a race against a newer version. */
   Conflict,
-  /** The other side can't be reached, or refuses for now. */
+  /** The peer can't be reached, or temporarily rejects requests. */
   Unavailable,
-  /** No answer came in time; the effect is unknown. */
+  /** No response arrived in time; the effect of the call is unknown. */
   Timeout,
-  /** The caller may not do this. */
+  /** The caller lacks the permission. */
   Forbidden,
-  /** The operating system refused a call. */
+  /** A call to the operating system failed. */
   System,
 };
 
-/** The name of a kind, as it stands in logs and counters. */
+/** Returns the name of a kind, as used in logs and counters. */
 std::string_view ToString(ErrorKind aKind);
 
-/** A failure: what was found, and what the reader can do about it. */
+/** A failure: a description of the fault, and a remedy for the reader. */
 struct Error
 {
   ErrorKind mKind = ErrorKind::InvalidInput;
-  /** What was found and where, one line. */
+  /** Describes the fault and its location, one line. */
   std::string mMessage;
-  /** What to do about it, one line. */
+  /** Tells the reader how to fix it, one line. */
   std::string mRemedy;
 
   /** "<message>; <remedy>", one line. */
@@ -50,7 +50,7 @@
 template<typename T>
 using Result = tl::expected<T, Error>;
 
-/** Shorthand for returning a failure from a function that gives a Result. */
+/** Makes a failure to return from a function with a Result. */
 tl::unexpected<Error> Fail(ErrorKind aKind, std::string aMessage,
                            std::string aRemedy);
 
--- a/include/heatherplank/Member.h
+++ b/include/heatherplank/Member.h
@@ -6,7 +6,7 @@
 
 namespace heatherplank {
 
-/** What an agent announces of its host, and what every view holds of it. */
+/** State of a host that its agent announces and each membership view holds. */
 struct Member
 {
   HostId mHost;
@@ -14,13 +14,13 @@
   DataCentreId mDataCentre;
   Incarnation mIncarnation = 0;
   HostState mState = HostState::Cold;
-  /** Requests that the backend server runs at once. */
+  /** Number of requests that the backend server runs concurrently. */
   std::uint16_t mSlots = 1;
-  /** Share of flows relative to its peers; 100 is the usual weight. */
+  /** Share of flows relative to the service's other hosts; 100 is usual. */
   std::uint16_t mWeight = 100;
-  /** Where the agent takes packets and agents' messages (UDP). */
+  /** UDP address at which the agent receives packets and agents' messages. */
   Address mTunnel;
-  /** Where the agent takes control connections (TCP). */
+  /** TCP address at which the agent accepts control connections. */
   Address mControl;
 
   auto operator<=>(const Member&) const = default;
--- a/include/heatherplank/ObjectStore.h
+++ b/include/heatherplank/ObjectStore.h
@@ -12,7 +12,7 @@
 
 namespace heatherplank {
 
-/** A value of the platform's object API with the version it was read at. */
+/** An object of the platform's object API, with the version that was read. */
 struct Object
 {
   std::string mKey;
@@ -20,23 +20,23 @@
   std::uint64_t mVersion = 0;
 };
 
-/** An entry of a listing. */
+/** An entry of a listing: a key and the version of its object. */
 struct ObjectName
 {
   std::string mKey;
   std::uint64_t mVersion = 0;
 };
 
-/** The names under a prefix, or that they have not changed. */
+/** Result of watching the names under a prefix. */
 struct NameChange
 {
-  /** The store's version as of which this holds: where to watch from next. */
+  /** Store version as of which this is valid: aAfter of the next watch. */
   std::uint64_t mAsOf = 0;
-  /** All names, without the prefix; none if they are as before. */
+  /** All names, without the prefix; nullopt if they have not changed. */
   std::optional<std::vector<std::string>> mNames;
 };
 
-/** When a write may take effect. */
+/** Condition under which a write takes effect. */
 struct WriteCondition
 {
   enum class Kind : std::uint8_t
@@ -57,11 +57,11 @@
 };
 
 /** The platform's object API. Values hold at most kMaxObjectSize bytes. Each
- * call, a waiting watch too, counts against the platform's rates.
+ * call, including a pending watch, counts towards the platform's rate limits.
  *
- * Errors of every call: Unavailable, it took no effect and may be sent again;
- * Timeout, its effect is unknown: read back; Malformed, the answer makes no
- * sense. Thread safe; each callback runs once, on the store's executor.
+ * Errors of every call: Unavailable, it took no effect and may be retried;
+ * Timeout, its effect is unknown: read back; Malformed, the response does not
+ * parse. Thread safe; each callback runs once, on the store's executor.
  */
 class ObjectStore
 {
@@ -76,7 +76,7 @@
   /** Reads an object; NotFound if there is none. */
   virtual void Get(std::string_view aKey, Done<Object> aDone) = 0;
 
-  /** Writes an object and gives its new version; Conflict if aCondition did
+  /** Writes an object and returns its new version; Conflict if aCondition did
    * not hold, TooLarge if the value is over the limit (nothing was sent).
    */
   virtual void Put(std::string_view aKey, std::string aValue,
@@ -86,22 +86,22 @@
   virtual void Delete(std::string_view aKey, WriteCondition aCondition,
                       Done<std::uint64_t> aDone) = 0;
 
-  /** Waits up to aWait for a version above aAfter; none if there was none. */
+  /** Waits up to aWait for a version above aAfter; nullopt if none arrived. */
   virtual void Watch(std::string_view aKey, std::uint64_t aAfter,
                      Duration aWait, Done<std::optional<Object>> aDone) = 0;
 
-  /** Lists keys that begin with aPrefix. */
+  /** Lists the keys that begin with aPrefix. */
   virtual void List(std::string_view aPrefix,
                     Done<std::vector<ObjectName>> aDone) = 0;
 
-  /** Waits up to aWait for a change of the names that begin with aPrefix after
-   * the store's version aAfter, and gives all of them then; at once if aAfter
-   * is 0. Unavailable from a store that can't watch names. */
+  /** Waits up to aWait until the names that begin with aPrefix change after
+   * store version aAfter, then returns all of them; at once if aAfter is 0.
+   * Unavailable if the store does not support watching names. */
   virtual void WatchNames(std::string_view aPrefix, std::uint64_t aAfter,
                           Duration aWait, Done<NameChange> aDone);
 
-  /** The newest version of the store that an answer told; 0 if none did. What
-   * was read as of it was true when that answer was given. */
+  /** The newest store version that a response has reported; 0 if none has. Data
+   * read as of this version was current when that response was sent. */
   virtual std::uint64_t SeenVersion() const { return 0; }
 };
 
--- a/include/heatherplank/Types.h
+++ b/include/heatherplank/Types.h
@@ -10,7 +10,7 @@
 
 namespace heatherplank {
 
-/** An IP address and port. IPv4 is held as an IPv4-mapped IPv6 address. */
+/** An IP address and port. IPv4 is stored as an IPv4-mapped IPv6 address. */
 struct Address
 {
   std::array<std::uint8_t, 16> mIp{};
@@ -18,14 +18,14 @@
 
   auto operator<=>(const Address&) const = default;
 
-  /** True for the all-zero address, which stands for "none". */
+  /** True for the all-zero address, which means "none". */
   bool IsNone() const { return *this == Address{}; }
 
   /** "10.0.0.1:80" or "[::1]:80". */
   std::string ToString() const;
 };
 
-/** What identifies a flow: who calls, and which service address it calls. */
+/** Identifies a flow: the caller's address and the called service address. */
 struct FlowKey
 {
   Address mCaller;
@@ -37,7 +37,7 @@
   std::string ToString() const;
 };
 
-/** A 64-bit name hash that can't be mixed up with that of another kind. */
+/** A 64-bit hash of a name; Tag separates the kinds of names by type. */
 template<typename Tag>
 struct NameHash
 {
@@ -60,7 +60,7 @@
 /** Identifies a data centre, by the hash of its name. */
 using DataCentreId = NameHash<DataCentreTag>;
 
-/** Hashes a service's name. The inventory check refuses collisions. */
+/** Hashes a service's name. The inventory check rejects collisions. */
 ServiceId MakeServiceId(std::string_view aName);
 /** Hashes a host's name. */
 HostId MakeHostId(std::string_view aName);
@@ -74,25 +74,25 @@
 /** Mixes two hashes into one (XXH3 of both). */
 std::uint64_t MixHash(std::uint64_t aLeft, std::uint64_t aRight);
 
-/** A start of a process at a host: the newer one is larger. Microseconds since
- * the Unix epoch at start; the host's clock must not step back over a restart.
- */
+/** Identifies one start of a process on a host, in microseconds since the Unix
+ * epoch at that start; a later start has a larger value. The host's clock must
+ * not step back across a restart. */
 using Incarnation = std::uint64_t;
 
-/** The life of a host; within one incarnation a later state wins. */
+/** Lifecycle of a host; within one incarnation, the later state prevails. */
 enum class HostState : std::uint8_t
 {
-  /** Started; takes work by slow start only. */
+  /** Started recently; receives work by slow start only. */
   Cold = 0,
-  /** Takes its full share. */
+  /** Receives its full share of work. */
   Serving = 1,
-  /** Finishes what it has; takes no new flow. */
+  /** Finishes the work that it has; accepts no new flow. */
   Draining = 2,
-  /** About to stop; holds nothing. */
+  /** About to stop; has no work left. */
   Leaving = 3,
 };
 
-/** The name of a state, as it stands in logs and reports. */
+/** Returns the name of a state, as used in logs and reports. */
 std::string_view ToString(HostState aState);
 
 } // namespace heatherplank
--- a/src/base/BarChart.cpp
+++ b/src/base/BarChart.cpp
@@ -7,15 +7,16 @@
 
 namespace {
 
+// Sizes in pixels.
 constexpr int kPanelWidth = 260;
 constexpr int kBarHeight = 22;
 constexpr int kRowHeight = 30;
-constexpr int kTop = 50;
-constexpr int kNames = 120;
-/** Longest bar, with room for its figure behind it. */
-constexpr double kLongest = 170;
+constexpr int kTopMargin = 50;
+constexpr int kNamesWidth = 120;
+/** Leaves room in a panel for the value behind the longest bar. */
+constexpr double kMaxBarWidth = 170;
 
-/** Names may come from outside; they must not become markup. */
+/** Escapes markup characters, since names may come from untrusted input. */
 std::string Escape(const std::string& aText)
 {
   std::string out;
@@ -37,13 +38,13 @@
   return out;
 }
 
-std::string Text(int aX, int aY, const std::string& aText)
+std::string MakeText(int aX, int aY, const std::string& aText)
 {
   return "<text x=\"" + std::to_string(aX) + "\" y=\"" + std::to_string(aY) +
          "\">" + Escape(aText) + "</text>\n";
 }
 
-std::string Bar(int aX, int aY, double aWidth)
+std::string MakeBar(int aX, int aY, double aWidth)
 {
   char out[128];
   std::snprintf(out, sizeof(out),
@@ -52,7 +53,7 @@
   return out;
 }
 
-std::string Figure(double aValue)
+std::string FormatValue(double aValue)
 {
   char out[32];
   std::snprintf(out, sizeof(out), "%.2f", aValue);
@@ -61,16 +62,16 @@
 
 std::string DrawPanel(const BarPanel& aPanel, int aX)
 {
-  double most = 0;
+  double max = 0;
   for (double it : aPanel.mValues) {
-    most = std::max(most, it);
+    max = std::max(max, it);
   }
-  std::string out = Text(aX, kTop - 15, aPanel.mTitle);
-  int y = kTop;
+  std::string out = MakeText(aX, kTopMargin - 15, aPanel.mTitle);
+  int y = kTopMargin;
   for (double it : aPanel.mValues) {
-    double width = most > 0 ? it / most * kLongest : 0;
-    out += Bar(aX, y, width);
-    out += Text(aX + static_cast<int>(width) + 6, y + 16, Figure(it));
+    double width = max > 0 ? it / max * kMaxBarWidth : 0;
+    out += MakeBar(aX, y, width);
+    out += MakeText(aX + static_cast<int>(width) + 6, y + 16, FormatValue(it));
     y += kRowHeight;
   }
   return out;
@@ -81,20 +82,20 @@
 std::string DrawBarChart(std::span<const std::string> aNames,
                          std::span<const BarPanel> aPanels)
 {
-  int height = kTop + static_cast<int>(aNames.size()) * kRowHeight + 20;
-  int width = kNames + static_cast<int>(aPanels.size()) * kPanelWidth;
+  int height = kTopMargin + static_cast<int>(aNames.size()) * kRowHeight + 20;
+  int width = kNamesWidth + static_cast<int>(aPanels.size()) * kPanelWidth;
   std::string out = "<svg xmlns=\"http://www.w3.org/2000/svg\" width=\"" +
                     std::to_string(width) + "\" height=\"" +
                     std::to_string(height) +
                     "\" font-family=\"sans-serif\" font-size=\"13\">\n"
                     "<rect width=\"100%\" height=\"100%\" fill=\"white\"/>\n"
                     "<g fill=\"#35608f\">\n";
-  int y = kTop;
+  int y = kTopMargin;
   for (const std::string& it : aNames) {
-    out += Text(10, y + 16, it);
+    out += MakeText(10, y + 16, it);
     y += kRowHeight;
   }
-  int x = kNames;
+  int x = kNamesWidth;
   for (const BarPanel& it : aPanels) {
     out += DrawPanel(it, x);
     x += kPanelWidth;
--- a/src/base/Compression.h
+++ b/src/base/Compression.h
@@ -11,14 +11,14 @@
 
 namespace heatherplank {
 
-/** Packs a text with Zstandard, at a level that favours speed: the text of
- * 1,000 routes becomes a tenth and more. Thread safe. */
+/** Compresses a text with Zstandard, at a level that favours speed: the text of
+ * 1,000 routes shrinks to less than a tenth. Thread safe. */
 std::vector<std::uint8_t> Compress(std::string_view aText);
 
-/** The text that Compress packed. Malformed if the bytes are not such or were
- * cut short, TooLarge if the text has more than aMost bytes, which is found out
- * before memory is taken for it. Thread safe. */
-Result<std::string> Decompress(std::span<const std::uint8_t> aPacked,
-                               std::size_t aMost);
+/** Decompresses the output of Compress. Malformed if the bytes are damaged or
+ * truncated; TooLarge if the text exceeds aMaxSize bytes, which is detected
+ * before memory is allocated for it. Thread safe. */
+Result<std::string> Decompress(std::span<const std::uint8_t> aCompressed,
+                               std::size_t aMaxSize);
 
 } // namespace heatherplank
--- a/src/base/Log.cpp
+++ b/src/base/Log.cpp
@@ -40,13 +40,13 @@
   return sName;
 }
 
-/** Takes lines from glog and writes them from a thread of its own. */
+/** Receives lines from glog and writes them on a dedicated thread. */
 class Writer final : public google::LogSink
 {
 public:
-  /** How long lines are collected for one write: a system call for each line
-   * costs more than the line. */
-  static constexpr auto kCollectFor = std::chrono::milliseconds(100);
+  /** Time over which lines are batched into one write: a system call per line
+   * would cost more than the line itself. */
+  static constexpr auto kBatchInterval = std::chrono::milliseconds(100);
 
   explicit Writer(bool aFlows)
     : mFlows(aFlows)
@@ -57,8 +57,8 @@
   ~Writer() override
   {
     {
-      std::lock_guard lock(mLock);
-      mEnding = true;
+      std::lock_guard lock(mQueueMutex);
+      mStopping = true;
     }
     mWake.notify_one();
     mThread.join();
@@ -75,27 +75,27 @@
     std::string line = head;
     line.append(aText, aLength);
     line += '\n';
-    std::lock_guard lock(mLock);
+    std::lock_guard lock(mQueueMutex);
     mQueue.Put(mClass, line, std::chrono::steady_clock::now());
     mWake.notify_one();
   }
 
-  /** Whether a line of LogFlow would be taken now. */
-  bool TakesFlow()
+  /** Returns whether a line of LogFlow is admitted now. */
+  bool AdmitFlowLine()
   {
-    std::lock_guard lock(mLock);
-    return mFlows && mQueue.HasFlowBudget(std::chrono::steady_clock::now());
+    std::lock_guard lock(mQueueMutex);
+    return mFlows && mQueue.AdmitFlowLine(std::chrono::steady_clock::now());
   }
 
-  /** The class of lines that this thread sends next. */
+  /** Class of the line that the current thread passes to glog. */
   static thread_local LogClass mClass;
 
   void Flush()
   {
-    std::lock_guard lock(mWriting);
+    std::lock_guard lock(mWriteMutex);
     std::string text;
     {
-      std::lock_guard queue(mLock);
+      std::lock_guard queue(mQueueMutex);
       text = mQueue.Take();
     }
     std::fwrite(text.data(), 1, text.size(), stdout);
@@ -104,35 +104,35 @@
 
   std::uint64_t Dropped()
   {
-    std::lock_guard lock(mLock);
+    std::lock_guard lock(mQueueMutex);
     return mQueue.Dropped();
   }
 
 private:
   void Run()
   {
-    std::unique_lock lock(mLock);
-    while (!mEnding) {
-      mWake.wait(lock, [this] { return mEnding || !mQueue.IsEmpty(); });
+    std::unique_lock lock(mQueueMutex);
+    while (!mStopping) {
+      mWake.wait(lock, [this] { return mStopping || !mQueue.IsEmpty(); });
       lock.unlock();
       Flush();
       lock.lock();
-      mWake.wait_for(lock, kCollectFor, [this] { return mEnding; });
+      mWake.wait_for(lock, kBatchInterval, [this] { return mStopping; });
     }
   }
 
-  std::mutex mLock;
-  std::mutex mWriting;
+  std::mutex mQueueMutex;
+  std::mutex mWriteMutex;
   std::condition_variable mWake;
   LogQueue mQueue;
   const bool mFlows;
-  bool mEnding = false;
+  bool mStopping = false;
   std::thread mThread;
 };
 
-thread_local LogClass Writer::mClass = LogClass::Belief;
+thread_local LogClass Writer::mClass = LogClass::Diagnostic;
 
-std::unique_ptr<Writer>& TheWriter()
+std::unique_ptr<Writer>& GetWriter()
 {
   static std::unique_ptr<Writer> sWriter;
   return sWriter;
@@ -155,7 +155,7 @@
 void Write(LogClass aClass, google::LogSeverity aSeverity,
            const std::string& aLine)
 {
-  Writer* writer = TheWriter().get();
+  Writer* writer = GetWriter().get();
   if (writer == nullptr) {
     return;
   }
@@ -170,19 +170,19 @@
   ProcessName() = aProcess;
   FLAGS_logtostderr = true;
   google::InitGoogleLogging("heatherplank");
-  TheWriter() = std::make_unique<Writer>(aFlows);
+  GetWriter() = std::make_unique<Writer>(aFlows);
 }
 
 void FlushLog()
 {
-  if (TheWriter()) {
-    TheWriter()->Flush();
+  if (GetWriter()) {
+    GetWriter()->Flush();
   }
 }
 
 std::uint64_t DroppedLogLines()
 {
-  return TheWriter() ? TheWriter()->Dropped() : 0;
+  return GetWriter() ? GetWriter()->Dropped() : 0;
 }
 
 void LogEvent(LogLevel aLevel, std::string_view aEvent,
@@ -194,12 +194,12 @@
   } else if (aLevel == LogLevel::Error) {
     severity = google::GLOG_ERROR;
   }
-  Write(LogClass::Belief, severity, MakeLine(aEvent, aFields));
+  Write(LogClass::Diagnostic, severity, MakeLine(aEvent, aFields));
 }
 
 void LogFlow(std::string_view aEvent, std::initializer_list<LogField> aFields)
 {
-  if (TheWriter() && TheWriter()->TakesFlow()) {
+  if (GetWriter() && GetWriter()->AdmitFlowLine()) {
     Write(LogClass::Flow, google::GLOG_INFO, MakeLine(aEvent, aFields));
   }
 }
--- a/src/base/Log.h
+++ b/src/base/Log.h
@@ -9,7 +9,7 @@
 
 namespace heatherplank {
 
-/** How much a line matters. */
+/** Severity of a log line. */
 enum class LogLevel
 {
   Info,
@@ -40,28 +40,28 @@
   static std::string ToText(T aValue) { return std::to_string(aValue); }
 };
 
-/** Starts the log on standard output, each line under the process's name. A
- * thread of its own writes, so a reader that stalls holds nobody up. aFlows:
- * also the lines of LogFlow. Call once, before any other thread runs.
+/** Starts logging to standard output; each line carries the process's name. A
+ * dedicated thread writes, so that a stalled reader blocks no caller. aFlows:
+ * also write the lines of LogFlow. Call once, before any other thread runs.
  */
 void StartLog(std::string_view aProcess, bool aFlows = true);
 
-/** Writes what still waits; call it before the process ends. Thread safe. */
+/** Writes all queued lines; call it before the process exits. Thread safe. */
 void FlushLog();
 
-/** Lines dropped since the start, for lack of room. Thread safe. */
+/** Lines dropped since the start, over a limit of LogQueue. Thread safe. */
 std::uint64_t DroppedLogLines();
 
 /** Writes one structured line, event=NAME key=value ...; values with spaces
- * are quoted. For what the process believes or decided against: what happens
- * often is counted, or written by LogFlow. Before StartLog lines
- * go nowhere. Thread safe, never blocks.
+ * are quoted. For changes in the process's view of other processes, rejections
+ * and failures; frequent events are counted, or written by LogFlow. Lines
+ * before StartLog are discarded. Thread safe, never blocks.
  */
 void LogEvent(LogLevel aLevel, std::string_view aEvent,
               std::initializer_list<LogField> aFields);
 
-/** The same for the ordinary course of a flow; the first to be dropped when
- * there are too many lines. Thread safe, never blocks. */
+/** As LogEvent, for the normal processing of a flow; these lines are dropped
+ * first when there are too many. Thread safe, never blocks. */
 void LogFlow(std::string_view aEvent, std::initializer_list<LogField> aFields);
 
 } // namespace heatherplank
--- a/src/base/LogQueue.cpp
+++ b/src/base/LogQueue.cpp
@@ -6,20 +6,20 @@
 
 bool LogQueue::IsOverBudget(Time aNow)
 {
-  if (aNow - mSecond >= std::chrono::seconds(1)) {
-    mSecond = aNow;
+  if (aNow - mWindowStart >= std::chrono::seconds(1)) {
+    mWindowStart = aNow;
     mFlowLines = 0;
   }
-  return mFlowLines >= kMostFlowLinesPerSecond;
+  return mFlowLines >= kMaxFlowLinesPerSecond;
 }
 
 void LogQueue::Drop()
 {
-  ++mDropped;
-  ++mDroppedInAll;
+  ++mUnreportedDrops;
+  ++mTotalDropped;
 }
 
-bool LogQueue::HasFlowBudget(Time aNow)
+bool LogQueue::AdmitFlowLine(Time aNow)
 {
   bool isOver = IsOverBudget(aNow);
   if (isOver) {
@@ -31,22 +31,22 @@
 void LogQueue::Put(LogClass aClass, std::string_view aLine, Time aNow)
 {
   bool isFlow = aClass == LogClass::Flow;
-  std::size_t room = isFlow ? kMostBytes - kKeptForBeliefs : kMostBytes;
+  std::size_t limit = isFlow ? kMaxBytes - kDiagnosticReserveBytes : kMaxBytes;
   bool isOver = isFlow && IsOverBudget(aNow);
-  if (isOver || mWaiting.size() + aLine.size() > room) {
+  if (isOver || mPending.size() + aLine.size() > limit) {
     Drop();
     return;
   }
   mFlowLines += isFlow ? 1 : 0;
-  mWaiting += aLine;
+  mPending += aLine;
 }
 
 std::string LogQueue::Take()
 {
-  std::string out = std::exchange(mWaiting, {});
-  if (mDropped > 0) {
-    out += "event=log_dropped lines=" + std::to_string(mDropped) + "\n";
-    mDropped = 0;
+  std::string out = std::exchange(mPending, {});
+  if (mUnreportedDrops > 0) {
+    out += "event=log_dropped lines=" + std::to_string(mUnreportedDrops) + "\n";
+    mUnreportedDrops = 0;
   }
   return out;
 }
--- a/src/base/LogQueue.h
+++ b/src/base/LogQueue.h
@@ -9,56 +9,56 @@
 
 namespace heatherplank {
 
-/** Which lines go first when there are too many. */
+/** Class of a log line; flow lines are dropped before diagnostic lines. */
 enum class LogClass : std::uint8_t
 {
-  /** What the process believes changed, a dependency was lost, a request was
-   * refused or cut: few, and what a failure is explained by. */
-  Belief,
-  /** The ordinary course of one request or flow. */
+  /** A change in the process's view of other processes, a lost dependency, a
+   * rejected or aborted request: few lines, needed to explain a failure. */
+  Diagnostic,
+  /** Normal processing of one request or flow. */
   Flow,
 };
 
-/** Lines on their way to the log. Bounded in bytes, and ordinary lines in lines
- * a second too: a flood of them must neither take the memory nor push out the
- * lines that explain it. What is dropped is counted, and said in a line of its
- * own. Never blocks. Not thread safe.
+/** Queue of lines to be written to the log. Limited in bytes, and flow lines
+ * also in lines per second, so that many flow lines neither exhaust the memory
+ * nor displace the lines that explain them. Dropped lines are counted and
+ * reported in a line of their own. Never blocks. Not thread safe.
  */
 class LogQueue
 {
 public:
-  /** Bytes that wait at most: what a reader that stalls for a second would
-   * miss at the highest rate of lines. */
-  static constexpr std::size_t kMostBytes = std::size_t{ 256 } * 1024;
-  /** Room that ordinary lines leave free for the others. */
-  static constexpr std::size_t kKeptForBeliefs = kMostBytes / 4;
-  /** Ordinary lines a second. At some 200 bytes and 5 microseconds a line it
-   * bounds the log at 60 KB a second and 0.15 % of a core. */
-  static constexpr std::uint32_t kMostFlowLinesPerSecond = 300;
+  /** Maximum queued bytes: the output of one second at the highest line rate,
+   * so that a reader may stall that long without loss. */
+  static constexpr std::size_t kMaxBytes = std::size_t{ 256 } * 1024;
+  /** Bytes that flow lines leave free for diagnostic lines. */
+  static constexpr std::size_t kDiagnosticReserveBytes = kMaxBytes / 4;
+  /** At about 200 bytes and 5 microseconds per line, this limits the log to
+   * 60 KB/s and 0.15 % of a core. */
+  static constexpr std::uint32_t kMaxFlowLinesPerSecond = 300;
 
-  /** Whether an ordinary line is within the budget now; if not it counts as
-   * dropped. Asked first, it saves making a line that would be dropped. */
-  bool HasFlowBudget(Time aNow);
+  /** Returns whether a flow line is within the rate limit; if not, counts it as
+   * dropped. Checking first saves formatting a line that would be dropped. */
+  bool AdmitFlowLine(Time aNow);
 
-  /** Takes a line, or counts it as dropped. */
+  /** Queues a line, or counts it as dropped. */
   void Put(LogClass aClass, std::string_view aLine, Time aNow);
 
-  /** Everything that waits, with a line on what was dropped since the last
-   * call; empty if there is nothing. */
+  /** Removes and returns all queued lines, followed by a line with the number
+   * of lines dropped since the last call; empty if there are none. */
   std::string Take();
 
-  bool IsEmpty() const { return mWaiting.empty() && mDropped == 0; }
-  std::uint64_t Dropped() const { return mDroppedInAll; }
+  bool IsEmpty() const { return mPending.empty() && mUnreportedDrops == 0; }
+  std::uint64_t Dropped() const { return mTotalDropped; }
 
 private:
   bool IsOverBudget(Time aNow);
   void Drop();
 
-  std::string mWaiting;
-  Time mSecond{};
+  std::string mPending;
+  Time mWindowStart{};
   std::uint32_t mFlowLines = 0;
-  std::uint64_t mDropped = 0;
-  std::uint64_t mDroppedInAll = 0;
+  std::uint64_t mUnreportedDrops = 0;
+  std::uint64_t mTotalDropped = 0;
 };
 
 } // namespace heatherplank
--- a/src/base/Types.cpp
+++ b/src/base/Types.cpp
@@ -11,7 +11,7 @@
 constexpr std::uint64_t kHostSeed = 0x4057;
 constexpr std::uint64_t kDataCentreSeed = 0xdc;
 
-/** 0 stands for "none", so no name may hash to it. */
+/** 0 means "none", so no name may hash to it. */
 std::uint64_t HashName(std::string_view aName, std::uint64_t aSeed)
 {
   std::uint64_t hash = HashBytes(aName, aSeed);
--- a/tests/CompressionTest.cpp
+++ b/tests/CompressionTest.cpp
@@ -19,36 +19,36 @@
   }
 };
 
-TEST(Compression, GivesTheTextBack)
+TEST(Compression, DecompressRestoresTheText)
 {
-  auto packed = Compress(mText);
-  CHECK_TRUE(packed.size() < mText.size() / 10);
-  CHECK_TRUE(Decompress(packed, mText.size()) == mText);
+  auto compressed = Compress(mText);
+  CHECK_TRUE(compressed.size() < mText.size() / 10);
+  CHECK_TRUE(Decompress(compressed, mText.size()) == mText);
   CHECK_TRUE(Decompress(Compress(""), 0) == std::string());
 }
 
-// A peer's message is damaged, or is no packed text at all.
-TEST(Compression, RefusesDamagedBytes)
+// A peer sends damaged bytes, or bytes that are not compressed text.
+TEST(Compression, RejectsDamagedBytes)
 {
-  auto packed = Compress(mText);
-  auto cut = packed;
-  cut.resize(packed.size() / 2);
+  auto compressed = Compress(mText);
+  auto cut = compressed;
+  cut.resize(compressed.size() / 2);
   CHECK_TRUE(Decompress(cut, mText.size()).error().mKind ==
              ErrorKind::Malformed);
   CHECK_TRUE(Decompress({}, 100).error().mKind == ErrorKind::Malformed);
   std::mt19937 random(1);
   for (int i = 0; i < 1000; ++i) {
-    auto bad = packed;
+    auto bad = compressed;
     bad[random() % bad.size()] ^= static_cast<std::uint8_t>(random());
     auto text = Decompress(bad, mText.size());
     CHECK_TRUE(!text || text->size() <= mText.size());
   }
 }
 
-// A few bytes that claim to be a huge text take no memory.
-TEST(Compression, RefusesMoreThanAsked)
+// A short message that declares a huge text must not cause its allocation.
+TEST(Compression, RejectsTextAboveTheMaximumSize)
 {
-  auto packed = Compress(mText);
-  CHECK_TRUE(Decompress(packed, mText.size() - 1).error().mKind ==
+  auto compressed = Compress(mText);
+  CHECK_TRUE(Decompress(compressed, mText.size() - 1).error().mKind ==
              ErrorKind::TooLarge);
 }
--- a/tests/FakeObjectStore.h
+++ b/tests/FakeObjectStore.h
@@ -10,31 +10,31 @@
 
 namespace heatherplank {
 
-/** What happens to a write of the fake store. */
+/** Fault to inject into a write. */
 enum class WriteFault
 {
   None,
-  /** It takes effect, its answer is lost. */
+  /** The write takes effect, but its response is lost. */
   LostAnswer,
-  /** It has no effect yet and no answer: it arrives with the next call. */
+  /** No response; the write takes effect at the next call. */
   Late,
-  /** It never arrives, and there is no answer. */
+  /** The write never arrives; no response. */
   LostRequest,
-  /** The platform refuses: surely no effect. */
+  /** The platform rejects the write, which has no effect. */
   Refused,
 };
 
-/** A platform in memory that answers at once, with faults on demand. */
+/** An in-memory store that responds at once, with faults on demand. */
 class FakeObjectStore : public ObjectStore
 {
 public:
   /** Decides the fault of each write; none if empty. */
   std::function<WriteFault(const std::string& aKey)> mOnWrite;
-  /** Runs before a read or write of a key; another operator, say. */
+  /** Runs before a read or write of a key, such as a concurrent writer. */
   std::function<void(const std::string& aKey)> mBefore;
-  /** Reads of a key that give the value before the newest. */
+  /** Number of reads that return the value before the newest. */
   int mStaleReads = 0;
-  /** No read is answered. */
+  /** Reads fail with a timeout. */
   bool mLosesReads = false;
   int mCalls = 0;
 
@@ -42,14 +42,14 @@
 
   void Get(std::string_view aKey, Done<Object> aDone) override
   {
-    Enter(std::string(aKey));
+    BeginCall(std::string(aKey));
     if (mLosesReads) {
       aDone(Fail(ErrorKind::Timeout, "no answer", "read back"));
       return;
     }
     auto it = mObjects.find(std::string(aKey));
-    auto old = mOlder.find(std::string(aKey));
-    if (mStaleReads > 0 && old != mOlder.end()) {
+    auto old = mPrevious.find(std::string(aKey));
+    if (mStaleReads > 0 && old != mPrevious.end()) {
       --mStaleReads;
       aDone(old->second);
     } else if (it == mObjects.end()) {
@@ -63,7 +63,7 @@
            Done<std::uint64_t> aDone) override
   {
     std::string key(aKey);
-    Enter(key);
+    BeginCall(key);
     WriteFault fault = mOnWrite ? mOnWrite(key) : WriteFault::None;
     auto write = [this, key, aValue, aCondition] {
       return Write(key, aValue, aCondition);
@@ -79,7 +79,7 @@
         write();
         break;
       case WriteFault::Late:
-        mLate.push_back(write);
+        mDelayedWrites.push_back(write);
         break;
       case WriteFault::LostRequest:
         break;
@@ -91,7 +91,7 @@
               Done<std::uint64_t> aDone) override
   {
     std::string key(aKey);
-    Enter(key);
+    BeginCall(key);
     auto it = mObjects.find(key);
     if (it == mObjects.end()) {
       aDone(Fail(ErrorKind::NotFound, "no object", ""));
@@ -106,13 +106,13 @@
   void Watch(std::string_view, std::uint64_t, Duration,
              Done<std::optional<Object>> aDone) override
   {
-    aDone(Fail(ErrorKind::Unavailable, "no watches here", ""));
+    aDone(Fail(ErrorKind::Unavailable, "the fake store has no watches", ""));
   }
 
   void List(std::string_view aPrefix,
             Done<std::vector<ObjectName>> aDone) override
   {
-    Enter(std::string(aPrefix));
+    BeginCall(std::string(aPrefix));
     std::vector<ObjectName> out;
     for (const auto& [key, object] : mObjects) {
       if (key.starts_with(aPrefix)) {
@@ -123,14 +123,14 @@
   }
 
 private:
-  void Enter(const std::string& aKey)
+  void BeginCall(const std::string& aKey)
   {
     ++mCalls;
     if (mBefore) {
       mBefore(aKey);
     }
-    auto late = std::exchange(mLate, {});
-    for (const auto& it : late) {
+    auto delayed = std::exchange(mDelayedWrites, {});
+    for (const auto& it : delayed) {
       it();
     }
   }
@@ -158,15 +158,15 @@
       return Fail(ErrorKind::Conflict, "other version", "");
     }
     if (mObjects.contains(aKey)) {
-      mOlder[aKey] = mObjects[aKey];
+      mPrevious[aKey] = mObjects[aKey];
     }
     mObjects[aKey] = { aKey, aValue, ++mVersion };
     return mVersion;
   }
 
   std::uint64_t mVersion = 0;
-  std::map<std::string, Object> mOlder;
-  std::vector<std::function<void()>> mLate;
+  std::map<std::string, Object> mPrevious;
+  std::vector<std::function<void()>> mDelayedWrites;
 };
 
 } // namespace heatherplank
