--- a/src/settings/JsonReader.cpp
+++ b/src/settings/JsonReader.cpp
@@ -20,16 +20,16 @@
 
 namespace {
 
-/** The shown part of a value, so that a message stays one readable line. */
-constexpr std::size_t kShownBytes = 60;
-/** More edits than this and a key is not taken for a misspelt one. */
-constexpr std::size_t kNearEdits = 3;
+/** Longer values are truncated, so that a message stays one readable line. */
+constexpr std::size_t kMaxShownBytes = 60;
+/** Maximum edit distance of a known key suggested for an unknown one. */
+constexpr std::size_t kMaxSuggestionDistance = 3;
 
 std::string Show(const json::value& aValue)
 {
   std::string text = json::serialize(aValue);
-  if (text.size() > kShownBytes) {
-    text.resize(kShownBytes);
+  if (text.size() > kMaxShownBytes) {
+    text.resize(kMaxShownBytes);
     text += "...";
   }
   return text;
@@ -150,10 +150,10 @@
   return value;
 }
 
-void JsonReader::WrongType(std::string_view aKey, const json::value& aValue,
-                           std::string_view aWanted) const
+void JsonReader::AddTypeFault(std::string_view aKey, const json::value& aValue,
+                              std::string_view aExpected) const
 {
-  AddFault(aKey, "found " + Show(aValue), "give " + std::string(aWanted));
+  AddFault(aKey, "found " + Show(aValue), "give " + std::string(aExpected));
 }
 
 std::string JsonReader::RequiredString(std::string_view aKey)
@@ -168,7 +168,7 @@
     return aFallback;
   }
   if (!value->is_string() || value->get_string().empty()) {
-    WrongType(aKey, *value, "a string that is not empty");
+    AddTypeFault(aKey, *value, "a string that is not empty");
     return aFallback;
   }
   return std::string(value->get_string());
@@ -185,7 +185,7 @@
   if (!value->is_string() ||
       std::ranges::find(aAllowed, std::string_view(value->get_string())) ==
         aAllowed.end()) {
-    WrongType(aKey, *value, "one of: " + Join(aAllowed));
+    AddTypeFault(aKey, *value, "one of: " + Join(aAllowed));
     return aFallback;
   }
   return std::string(value->get_string());
@@ -198,7 +198,7 @@
     return aFallback;
   }
   if (!value->is_bool()) {
-    WrongType(aKey, *value, "true or false");
+    AddTypeFault(aKey, *value, "true or false");
     return aFallback;
   }
   return value->get_bool();
@@ -213,9 +213,9 @@
   }
   auto number = ToInteger(*value);
   if (!number || *number < aMin || *number > aMax) {
-    WrongType(aKey, *value,
-              "a whole number from " + std::to_string(aMin) + " to " +
-                std::to_string(aMax));
+    AddTypeFault(aKey, *value,
+                 "a whole number from " + std::to_string(aMin) + " to " +
+                   std::to_string(aMax));
     return aFallback;
   }
   return *number;
@@ -236,9 +236,9 @@
   }
   double number = value->is_number() ? value->to_number<double>() : aMin - 1;
   if (!(number >= aMin && number <= aMax)) {
-    WrongType(aKey, *value,
-              "a number from " + json::serialize(json::value(aMin)) + " to " +
-                json::serialize(json::value(aMax)));
+    AddTypeFault(aKey, *value,
+                 "a number from " + json::serialize(json::value(aMin)) +
+                   " to " + json::serialize(json::value(aMax)));
     return aFallback;
   }
   return number;
@@ -252,7 +252,7 @@
     return out;
   }
   if (!value->is_array()) {
-    WrongType(aKey, *value, "a list of strings");
+    AddTypeFault(aKey, *value, "a list of strings");
     return out;
   }
   std::size_t n = 0;
@@ -260,8 +260,8 @@
     if (it.is_string() && !it.get_string().empty()) {
       out.emplace_back(it.get_string());
     } else {
-      WrongType(std::string(aKey) + "[" + std::to_string(n) + "]", it,
-                "a string that is not empty");
+      AddTypeFault(std::string(aKey) + "[" + std::to_string(n) + "]", it,
+                   "a string that is not empty");
     }
     ++n;
   }
@@ -275,7 +275,7 @@
     return false;
   }
   if (!value->is_object()) {
-    WrongType(aKey, *value, "an object");
+    AddTypeFault(aKey, *value, "an object");
     return false;
   }
   JsonReader reader(value->get_object(), PathOf(aKey), *mFaults);
@@ -291,14 +291,14 @@
     return;
   }
   if (!value->is_array()) {
-    WrongType(aKey, *value, "a list of objects");
+    AddTypeFault(aKey, *value, "a list of objects");
     return;
   }
   std::size_t n = 0;
   for (const auto& it : value->get_array()) {
     std::string key = std::string(aKey) + "[" + std::to_string(n++) + "]";
     if (!it.is_object()) {
-      WrongType(key, it, "an object");
+      AddTypeFault(key, it, "an object");
       continue;
     }
     JsonReader reader(it.get_object(), PathOf(key), *mFaults);
@@ -318,11 +318,11 @@
       std::ranges::min_element(mKnown, {}, [key](const std::string& aKnown) {
         return EditDistance(key, aKnown);
       });
-    bool near =
-      nearest != mKnown.end() && EditDistance(key, *nearest) <= kNearEdits;
+    bool near = nearest != mKnown.end() &&
+                EditDistance(key, *nearest) <= kMaxSuggestionDistance;
     AddFault(key, "unknown key",
              near ? "did you mean \"" + *nearest + "\"?"
-                  : "remove it; known here: " + Join(mKnown));
+                  : "remove it; known keys: " + Join(mKnown));
   }
 }
 
--- a/src/settings/JsonText.cpp
+++ b/src/settings/JsonText.cpp
@@ -16,7 +16,8 @@
 
 namespace {
 
-/** Deeper nesting is refused, so that hostile text can't use up the stack. */
+/** Deeper nesting is rejected, so that malicious text can't exhaust the stack.
+ */
 constexpr std::size_t kMaxDepth = 32;
 
 json::parse_options Options()
@@ -28,8 +29,8 @@
   return options;
 }
 
-/** Collects keys that stand twice in one object; Boost.JSON's handler of parse
- * events, whose interface names these functions and constants.
+/** Collects duplicate keys within one object. Implements Boost.JSON's handler
+ * interface, which defines the names of these functions and constants.
  */
 // NOLINTBEGIN(readability-identifier-naming)
 struct DuplicateFinder
@@ -42,7 +43,7 @@
   using Code = json::error_code;
   using View = json::string_view;
 
-  std::vector<std::set<std::string>> mOpen;
+  std::vector<std::set<std::string>> mOpenObjects;
   std::string mKey;
   std::vector<std::string> mDuplicates;
 
@@ -50,12 +51,12 @@
   bool on_document_end(Code&) { return true; }
   bool on_object_begin(Code&)
   {
-    mOpen.emplace_back();
+    mOpenObjects.emplace_back();
     return true;
   }
   bool on_object_end(std::size_t, Code&)
   {
-    mOpen.pop_back();
+    mOpenObjects.pop_back();
     return true;
   }
   bool on_array_begin(Code&) { return true; }
@@ -68,7 +69,7 @@
   bool on_key(View aPart, std::size_t, Code&)
   {
     mKey += aPart;
-    if (!mOpen.back().insert(mKey).second) {
+    if (!mOpenObjects.back().insert(mKey).second) {
       mDuplicates.push_back(mKey);
     }
     mKey.clear();
@@ -99,7 +100,7 @@
   json::error_code ec;
   parser.write_some(false, aText.data(), aText.size(), ec);
   for (const auto& it : parser.handler().mDuplicates) {
-    aFaults.Add(it, "the key stands twice in one object", "keep one of them");
+    aFaults.Add(it, "duplicate key in one object", "keep one of them");
   }
 }
 
@@ -121,7 +122,7 @@
   if (ec) {
     aFaults.Add("line " + LineOf(aText, std::min(read, aText.size())),
                 "not JSON: " + ec.message(),
-                "mend the syntax there or just before");
+                "fix the syntax there or just before");
     return std::nullopt;
   }
   FindDuplicates(aText, aFaults);
--- a/src/settings/JsonText.h
+++ b/src/settings/JsonText.h
@@ -9,9 +9,9 @@
 
 class JsonFaults;
 
-/** Parses text as JSON with comments and trailing commas. None after a syntax
- * error, which is noted with its line. A key that stands twice in one object
- * is a fault too, since the parser itself would keep the last one silently.
+/** Parses text as JSON with comments and trailing commas. Returns nullopt after
+ * a syntax error, which is recorded with its line. Duplicate keys in one object
+ * are faults too, since the parser would silently use the last value.
  * Thread safe.
  */
 std::optional<boost::json::value> ParseJsonText(std::string_view aText,
--- a/src/settings/ProcessSettings.cpp
+++ b/src/settings/ProcessSettings.cpp
@@ -7,8 +7,8 @@
 
 namespace {
 
-constexpr std::int64_t kMostEntries = 50000000;
-constexpr std::int64_t kMostSlots = 10000;
+constexpr std::int64_t kMaxEntries = 50000000;
+constexpr std::int64_t kMaxSlots = 10000;
 
 void ReadBalancer(JsonReader& aReader, BalancerSettings& aOut)
 {
@@ -18,7 +18,7 @@
     CheckFamily(aReader, "peers", aOut.mTunnel, it);
   }
   aOut.mMaxHints = static_cast<std::uint32_t>(
-    aReader.Integer("max_hints", 1, kMostEntries, aOut.mMaxHints));
+    aReader.Integer("max_hints", 1, kMaxEntries, aOut.mMaxHints));
 }
 
 void ReadAgent(JsonReader& aReader, AgentSettings& aOut)
@@ -28,18 +28,18 @@
   aOut.mBalancers = ReadAddresses(aReader, "balancers");
   if (aOut.mBalancers.empty()) {
     aReader.AddFault("balancers", "is missing or empty",
-                     "list the control address of one balancer at least");
+                     "list the control address of at least one balancer");
   }
   for (const auto& it : aOut.mBalancers) {
     CheckFamily(aReader, "balancers", aOut.mTunnel, it);
   }
   aOut.mBackend = RequiredAddress(aReader, "backend");
   aOut.mSlots = static_cast<std::uint16_t>(
-    aReader.Integer("slots", 1, kMostSlots, aOut.mSlots));
+    aReader.Integer("slots", 1, kMaxSlots, aOut.mSlots));
   aOut.mWeight = static_cast<std::uint16_t>(
-    aReader.Integer("weight", 1, kMostSlots, aOut.mWeight));
+    aReader.Integer("weight", 1, kMaxSlots, aOut.mWeight));
   aOut.mMaxFlows = static_cast<std::uint32_t>(
-    aReader.Integer("max_flows", 1, kMostEntries, aOut.mMaxFlows));
+    aReader.Integer("max_flows", 1, kMaxEntries, aOut.mMaxFlows));
   aOut.mMaxAnswerBytes = static_cast<std::uint32_t>(aReader.Integer(
     "max_answer_bytes", 65536, 1073741824, aOut.mMaxAnswerBytes));
   aOut.mVouchAfterMs = static_cast<std::uint32_t>(
--- a/src/settings/ProcessSettings.h
+++ b/src/settings/ProcessSettings.h
@@ -10,35 +10,35 @@
 
 namespace heatherplank {
 
-/** What both kinds of process are told at their start. */
+/** Settings that all kinds of process share. */
 struct ProcessSettings
 {
-  /** Unique name; an agent's is that of its host. */
+  /** Unique name; the name of an agent is that of its host. */
   std::string mName;
   std::string mDataCentre;
-  /** UDP: packets and messages of our own processes. */
+  /** UDP: packets, and messages of heatherplank processes. */
   Address mTunnel;
-  /** TCP: control connections of our own processes. */
+  /** TCP: control connections of heatherplank processes. */
   Address mControl;
   /** HTTP: metrics, health, administration. */
   Address mAdmin;
-  /** The platform's object API. */
+  /** HTTP: the platform's object API. */
   Address mPlatform;
   /** Worker threads. */
   std::uint32_t mThreads = 1;
   /** File with the tokens of the administration API; empty: no API. */
   std::string mTokenFile;
-  /** Log the ordinary course of flows and requests too, not only what explains
-   * a failure. */
+  /** Also log the normal processing of flows and requests, not only the events
+   * that explain a failure. */
   bool mLogFlows = true;
 };
 
 /** Settings of a balancer. */
 struct BalancerSettings : ProcessSettings
 {
-  /** Control addresses of other balancers; more are learnt from them. */
+  /** Control addresses of other balancers, which report further ones. */
   std::vector<Address> mPeers;
-  /** Flows whose owner it remembers; a bound, since hints may be lost. */
+  /** Maximum number of cached flow owners; bounded, as hints may be lost. */
   std::uint32_t mMaxHints = 100000;
 };
 
@@ -48,19 +48,19 @@
   std::string mService;
   /** Control addresses of balancers. */
   std::vector<Address> mBalancers;
-  /** Where the backend server listens. */
+  /** Address at which the backend server listens. */
   Address mBackend;
   std::uint16_t mSlots = 2;
   std::uint16_t mWeight = 100;
-  /** Flows that it owns at most. */
+  /** Maximum number of flows that the agent owns. */
   std::uint32_t mMaxFlows = 50000;
-  /** Bytes of answers that it keeps at most. */
+  /** Maximum bytes of retained answers. */
   std::uint32_t mMaxAnswerBytes = 16777216;
-  /** An agent younger than this can't say that a key never ran on its host: it
-   * may have in an earlier life. Above the longest deadline of a request that
-   * may not be repeated, ms. */
+  /** An agent that started less than this ago can't confirm that a key never
+   * ran on its host: it may have in an earlier incarnation. Above the longest
+   * deadline of a request that may not be repeated, ms. */
   std::uint32_t mVouchAfterMs = 120000;
-  /** Longest time that a planned stop waits for requests in progress, ms. */
+  /** Maximum time that a planned stop waits for requests in progress, ms. */
   std::uint32_t mDrainTimeoutMs = 10000;
 };
 
--- a/src/settings/SettingsParts.cpp
+++ b/src/settings/SettingsParts.cpp
@@ -8,14 +8,14 @@
 
 namespace {
 
-constexpr std::int64_t kMostThreads = 256;
+constexpr std::int64_t kMaxThreads = 256;
 
 bool IsV4(const Address& aAddress)
 {
   return ToEndpoint<boost::asio::ip::udp>(aAddress).address().is_v4();
 }
 
-void CheckOwnAddresses(JsonReader& aReader, const ProcessSettings& aSettings)
+void CheckSelfAddresses(JsonReader& aReader, const ProcessSettings& aSettings)
 {
   CheckFamily(aReader, "control", aSettings.mTunnel, aSettings.mControl);
   if (aSettings.mControl == aSettings.mAdmin && !aSettings.mAdmin.IsNone()) {
@@ -41,7 +41,7 @@
   }
   if (parsed->mPort == 0) {
     aReader.AddFault(aKey, "\"" + text + "\" has port 0",
-                     "set the port that others shall use");
+                     "set the port that other processes use");
   }
   return *parsed;
 }
@@ -57,7 +57,7 @@
       continue;
     }
     if (!seen.insert(*parsed).second) {
-      aReader.AddFault(aKey, "\"" + it + "\" stands twice", "remove one");
+      aReader.AddFault(aKey, "\"" + it + "\" is listed twice", "remove one");
       continue;
     }
     out.push_back(*parsed);
@@ -66,13 +66,13 @@
 }
 
 void CheckFamily(JsonReader& aReader, std::string_view aKey,
-                 const Address& aOwn, const Address& aOther)
+                 const Address& aSelf, const Address& aPeer)
 {
-  if (!aOwn.IsNone() && !aOther.IsNone() && IsV4(aOwn) != IsV4(aOther)) {
+  if (!aSelf.IsNone() && !aPeer.IsNone() && IsV4(aSelf) != IsV4(aPeer)) {
     aReader.AddFault(aKey,
-                     aOther.ToString() +
+                     aPeer.ToString() +
                        " is of another address family than \"tunnel\" (" +
-                       aOwn.ToString() + ") and can't be reached",
+                       aSelf.ToString() + ") and can't be reached",
                      "use addresses of one family");
   }
 }
@@ -86,10 +86,10 @@
   aOut.mAdmin = RequiredAddress(aReader, "admin");
   aOut.mPlatform = RequiredAddress(aReader, "platform");
   aOut.mThreads = static_cast<std::uint32_t>(
-    aReader.Integer("threads", 1, kMostThreads, aOut.mThreads));
+    aReader.Integer("threads", 1, kMaxThreads, aOut.mThreads));
   aOut.mTokenFile = aReader.String("token_file", "");
   aOut.mLogFlows = aReader.Bool("log_flows", aOut.mLogFlows);
-  CheckOwnAddresses(aReader, aOut);
+  CheckSelfAddresses(aReader, aOut);
 }
 
 } // namespace heatherplank
--- a/src/settings/SettingsParts.h
+++ b/src/settings/SettingsParts.h
@@ -11,21 +11,22 @@
 
 namespace heatherplank {
 
-/** Parts that the settings of several kinds of process share. Faults go to the
- * reader. Not thread safe, as the reader. */
+/** Readers of settings that several kinds of process share. Faults are added to
+ * the JsonReader. Not thread safe. */
 
-/** An address that must be there and have a port. */
+/** Reads a required address, which must have a port. */
 Address RequiredAddress(JsonReader& aReader, std::string_view aKey);
 
-/** A list of addresses, none twice; empty if the key is missing. */
+/** Reads a list of addresses without duplicates; empty if the key is missing.
+ */
 std::vector<Address> ReadAddresses(JsonReader& aReader, std::string_view aKey);
 
-/** A process that listens on IPv4 can't send to an IPv6 peer from that socket;
- * it shows as silence, so it is refused before anything starts. */
+/** Adds a fault if the address families differ: an IPv4 socket can't send to an
+ * IPv6 peer, and at run time the peer would merely appear unresponsive. */
 void CheckFamily(JsonReader& aReader, std::string_view aKey,
-                 const Address& aOwn, const Address& aOther);
+                 const Address& aSelf, const Address& aPeer);
 
-/** What every process is told. */
+/** Reads the settings that every process has. */
 void ReadCommon(JsonReader& aReader, ProcessSettings& aOut);
 
 /** Reads one document with aRead; InvalidInput that lists every fault. */
--- a/tests/JsonReaderTest.cpp
+++ b/tests/JsonReaderTest.cpp
@@ -6,8 +6,8 @@
 
 namespace {
 
-/** The faults of a document that should be {"count": 1-9, "names": [...],
- * "part": {"on": bool}}. */
+/** Returns the faults of a document with the schema {"count": 1-9, "names":
+ * [...], "part": {"on": bool}}. */
 std::string FaultsOf(std::string_view aText)
 {
   JsonFaults faults("f.json");
@@ -23,7 +23,7 @@
 
 TEST_GROUP(JsonReader){};
 
-TEST(JsonReader, NamesEachFaultAndItsRemedy)
+TEST(JsonReader, ReportsEachFaultWithItsRemedy)
 {
   struct Case
   {
@@ -40,15 +40,15 @@
     { R"({"count": 1, "names": ["a", 7], "part": {"on": 1, "zzzzzzzz": 0}})",
       "f.json: names[1]: found 7; give a string that is not empty\n"
       "f.json: part.on: found 1; give true or false\n"
-      "f.json: part.zzzzzzzz: unknown key; remove it; known here: on" },
+      "f.json: part.zzzzzzzz: unknown key; remove it; known keys: on" },
     { R"({"count": 1, "count": 2})",
-      "f.json: count: the key stands twice in one object; keep one of them" },
+      "f.json: count: duplicate key in one object; keep one of them" },
     { "{\n\"count\": }", "f.json: line 2: not JSON: syntax error; "
-                         "mend the syntax there or just before" },
+                         "fix the syntax there or just before" },
     { R"({"count": 1)", "f.json: line 1: not JSON: incomplete JSON; "
-                        "mend the syntax there or just before" },
+                        "fix the syntax there or just before" },
     { R"({"count": 1} x)", "f.json: line 1: not JSON: extra data; "
-                           "mend the syntax there or just before" },
+                           "fix the syntax there or just before" },
     { "[1]", "f.json: found [1]; give one object, {...}" },
   };
   for (const auto& it : cases) {
@@ -56,7 +56,7 @@
   }
 }
 
-TEST(JsonReader, NamesTheFileThatCannotBeRead)
+TEST(JsonReader, ReadFileErrorNamesTheFile)
 {
   auto read = ReadFile("/nowhere/f.json");
   CHECK_FALSE(read.has_value());
--- a/tests/ProcessSettingsTest.cpp
+++ b/tests/ProcessSettingsTest.cpp
@@ -27,7 +27,7 @@
 
 TEST_GROUP(ProcessSettings){};
 
-TEST(ProcessSettings, ReadsAnAgentWithComments)
+TEST(ProcessSettings, ParsesAgentSettingsWithComments)
 {
   auto settings = ParseAgentSettings(kGood, "a.json").value();
   STRCMP_EQUAL("cover-desk", settings.mService.c_str());
@@ -64,7 +64,7 @@
   }
 }
 
-TEST(ProcessSettings, ListsAllFaultsAtOnce)
+TEST(ProcessSettings, ReportsAllFaultsAtOnce)
 {
   auto settings = ParseBalancerSettings("{\"name\": 3, \"nam\": 1}", "b.json");
   std::string text = settings.error().Describe();
