--- a/src/admin/AdminApi.cpp
+++ b/src/admin/AdminApi.cpp
@@ -15,7 +15,7 @@
 
 namespace {
 
-HttpResponse Refuse(const HttpRequest& aRequest, http::status aStatus,
+HttpResponse Reject(const HttpRequest& aRequest, http::status aStatus,
                     std::string_view aReason, std::string_view aRemedy)
 {
   std::string body = "{\"error\":\"";
@@ -37,7 +37,7 @@
   {
   }
 
-  void Count(std::string_view aReason)
+  void CountRejection(std::string_view aReason)
   {
     std::string label = "reason=\"" + std::string(aReason) + "\"";
     mMetrics.GetCounter("admin_refused_total", label).Add();
@@ -47,14 +47,14 @@
              const HttpServer::Respond& aRespond)
   {
     aRespond(mHandlers.Serve(aRequest, aUser));
-    --mWaiting;
+    --mPending;
   }
 
   AdminTokens mTokens;
   AdminHandlers mHandlers;
   MetricsRegistry& mMetrics;
-  std::atomic<std::size_t> mWaiting{ 0 };
-  /** Last, so that it ends before what its work uses. */
+  std::atomic<std::size_t> mPending{ 0 };
+  /** Last, so that it is destroyed before the members that its tasks use. */
   boost::asio::thread_pool mThread{ 1 };
 };
 
@@ -74,8 +74,8 @@
 {
   auto user = mImpl->mTokens.Find(aRequest[http::field::authorization]);
   if (!user) {
-    mImpl->Count("token");
-    auto response = Refuse(aRequest, http::status::unauthorized, "token",
+    mImpl->CountRejection("token");
+    auto response = Reject(aRequest, http::status::unauthorized, "token",
                            "send Authorization: Bearer TOKEN with a token of "
                            "the token file");
     response.set(http::field::www_authenticate, "Bearer");
@@ -83,15 +83,15 @@
     return;
   }
   if (user->mRole != AdminRole::Operator && !AdminHandlers::IsRead(aRequest)) {
-    mImpl->Count("role");
-    aRespond(Refuse(aRequest, http::status::forbidden, "role",
+    mImpl->CountRejection("role");
+    aRespond(Reject(aRequest, http::status::forbidden, "role",
                     "use a token with the role operator"));
     return;
   }
-  if (++mImpl->mWaiting > kMaxWaiting) {
-    --mImpl->mWaiting;
-    mImpl->Count("busy");
-    auto response = Refuse(aRequest, http::status::too_many_requests, "busy",
+  if (++mImpl->mPending > kMaxPending) {
+    --mImpl->mPending;
+    mImpl->CountRejection("busy");
+    auto response = Reject(aRequest, http::status::too_many_requests, "busy",
                            "try again in a second");
     response.set(http::field::retry_after, "1");
     aRespond(std::move(response));
--- a/src/admin/AdminApi.h
+++ b/src/admin/AdminApi.h
@@ -10,28 +10,28 @@
 
 class MetricsRegistry;
 
-/** The administration API: what the operator's commands do, over HTTP. Paths
- * and answers stand in docs/ADMIN.md. Its work blocks on the platform, so it
- * has a thread of its own and a short queue; what does not fit is refused.
+/** The administration API: the operator's commands over HTTP. docs/ADMIN.md
+ * lists paths and responses. Handlers block on the platform, so they run on a
+ * dedicated thread with a short queue; further requests are rejected.
  */
 class AdminApi
 {
 public:
-  /** Requests that may wait while one is served. */
-  static constexpr std::size_t kMaxWaiting = 16;
+  /** Maximum number of pending requests, including the one being served. */
+  static constexpr std::size_t kMaxPending = 16;
 
-  /** The path prefix to mount it at. */
+  /** Path prefix under which the API is served. */
   static constexpr const char* kPrefix = "/v1/";
 
-  /** aStore and aMetrics outlive it. */
+  /** aStore and aMetrics must outlive the API. */
   AdminApi(AdminTokens aTokens, ObjectStore& aStore, MetricsRegistry& aMetrics);
 
   /** Waits for the request that is being served. */
   ~AdminApi();
 
-  /** Serves a request. A missing or unknown token gets 401, a role that may
-   * not do it 403; each refusal counts in admin_refused_total by reason.
-   * Thread safe.
+  /** Serves a request. Responds 401 to a missing or unknown token, 403 to a
+   * role without permission and 429 if too many requests are pending; counts
+   * each rejection in admin_refused_total by reason. Thread safe.
    */
   void Handle(HttpRequest aRequest, HttpServer::Respond aRespond);
 
--- a/src/admin/AdminHandlers.cpp
+++ b/src/admin/AdminHandlers.cpp
@@ -23,7 +23,7 @@
 
 namespace {
 
-constexpr std::string_view kDrains = "/v1/drains/";
+constexpr std::string_view kDrainsPrefix = "/v1/drains/";
 
 http::status ToStatus(ErrorKind aKind)
 {
@@ -45,20 +45,20 @@
   }
 }
 
-HttpResponse AnswerJson(const HttpRequest& aRequest, http::status aStatus,
-                        const json::value& aValue)
+HttpResponse MakeJsonResponse(const HttpRequest& aRequest, http::status aStatus,
+                              const json::value& aValue)
 {
   return MakeResponse(aRequest, aStatus, "application/json",
                       json::serialize(aValue) + "\n");
 }
 
-HttpResponse AnswerError(const HttpRequest& aRequest, const Error& aError)
+HttpResponse MakeErrorResponse(const HttpRequest& aRequest, const Error& aError)
 {
   json::object out;
   out["error"] = ToString(aError.mKind);
   out["message"] = aError.mMessage;
   out["remedy"] = aError.mRemedy;
-  auto response = AnswerJson(aRequest, ToStatus(aError.mKind), out);
+  auto response = MakeJsonResponse(aRequest, ToStatus(aError.mKind), out);
   if (aError.mKind == ErrorKind::Unavailable) {
     response.set(http::field::retry_after, "1");
   }
@@ -85,8 +85,9 @@
   return target.substr(0, target.find('?'));
 }
 
-/** The number N of "?version=N" or of the tag "N"; none if it is no number. */
-std::optional<std::uint64_t> ToNumber(std::string_view aText)
+/** Parses the N of "?version=N" or of an entity tag; nullopt if not a number.
+ */
+std::optional<std::uint64_t> ParseNumber(std::string_view aText)
 {
   std::uint64_t out = 0;
   auto [end, ec] =
@@ -95,16 +96,16 @@
   return whole ? std::optional(out) : std::nullopt;
 }
 
-std::optional<std::uint64_t> IfMatch(const HttpRequest& aRequest)
+std::optional<std::uint64_t> ParseIfMatch(const HttpRequest& aRequest)
 {
   std::string_view tag = aRequest[http::field::if_match];
   if (tag.size() < 3 || tag.front() != '"' || tag.back() != '"') {
     return std::nullopt;
   }
-  return ToNumber(tag.substr(1, tag.size() - 2));
+  return ParseNumber(tag.substr(1, tag.size() - 2));
 }
 
-SyncObjectStore::Options CallOptions()
+SyncObjectStore::Options MakeStoreOptions()
 {
   SyncObjectStore::Options out;
   out.mSeed = std::random_device()();
@@ -121,8 +122,8 @@
 } // namespace
 
 AdminHandlers::AdminHandlers(ObjectStore& aStore)
-  : mCalls(aStore, CallOptions())
-  , mConfigurations(mCalls, ConfigurationStore::Options())
+  : mStore(aStore, MakeStoreOptions())
+  , mConfigurations(mStore, ConfigurationStore::Options())
 {
 }
 
@@ -149,9 +150,9 @@
   if (path == "/v1/policy" && verb == http::verb::put) {
     return PutPolicy(aRequest, aUser);
   }
-  if (path.starts_with(kDrains) &&
+  if (path.starts_with(kDrainsPrefix) &&
       (verb == http::verb::put || verb == http::verb::delete_)) {
-    std::string host(path.substr(kDrains.size()));
+    std::string host(path.substr(kDrainsPrefix.size()));
     return ApplyEdit(aRequest, aUser, [&](const Configuration& aNewest) {
       return WithDrain(aNewest, host, verb == http::verb::put);
     });
@@ -162,17 +163,17 @@
   if (path == "/v1/report" && verb == http::verb::get) {
     return GetReport(aRequest);
   }
-  return AnswerError(aRequest, { ErrorKind::NotFound,
-                                 "nothing is served at " + std::string(path) +
-                                   " with this method",
-                                 "see docs/ADMIN.md" });
+  return MakeErrorResponse(
+    aRequest, { ErrorKind::NotFound,
+                "no handler for " + std::string(path) + " with this method",
+                "see docs/ADMIN.md" });
 }
 
 HttpResponse AdminHandlers::Check(const HttpRequest& aRequest) const
 {
   JsonFaults faults("body");
   ParseConfiguration(aRequest.body(), 0, faults);
-  return AnswerJson(
+  return MakeJsonResponse(
     aRequest, faults.IsEmpty() ? http::status::ok : http::status::bad_request,
     ToJson(faults));
 }
@@ -180,26 +181,27 @@
 HttpResponse AdminHandlers::GetConfiguration(const HttpRequest& aRequest)
 {
   std::string_view target = aRequest.target();
-  static constexpr std::string_view kVersion = "?version=";
-  auto at = target.find(kVersion);
-  auto wanted = at == std::string_view::npos
-                  ? std::nullopt
-                  : ToNumber(target.substr(at + kVersion.size()));
+  static constexpr std::string_view kParameter = "?version=";
+  auto at = target.find(kParameter);
+  auto version = at == std::string_view::npos
+                   ? std::nullopt
+                   : ParseNumber(target.substr(at + kParameter.size()));
   auto newest = mConfigurations.Read();
   if (!newest) {
-    return AnswerError(aRequest, newest.error());
+    return MakeErrorResponse(aRequest, newest.error());
   }
   if (!*newest) {
-    return AnswerError(aRequest, { ErrorKind::NotFound, "no configuration yet",
-                                   "PUT one to /v1/config" });
+    return MakeErrorResponse(
+      aRequest,
+      { ErrorKind::NotFound, "no configuration yet", "PUT one to /v1/config" });
   }
   auto found =
-    mConfigurations.FindBase(wanted.value_or(0), (*newest)->mConfiguration);
+    mConfigurations.FindBase(version.value_or(0), (*newest)->mConfiguration);
   if (!found) {
-    return AnswerError(aRequest, found.error());
+    return MakeErrorResponse(aRequest, found.error());
   }
   auto out =
-    AnswerJson(aRequest, http::status::ok, heatherplank::ToJson(**found));
+    MakeJsonResponse(aRequest, http::status::ok, heatherplank::ToJson(**found));
   out.set(http::field::etag, "\"" + std::to_string((*found)->mVersion) + "\"");
   return out;
 }
@@ -208,20 +210,22 @@
                                              const AdminUser& aUser)
 {
   JsonFaults faults("body");
-  auto wanted = ParseConfiguration(aRequest.body(), 0, faults);
-  if (!wanted) {
-    return AnswerJson(aRequest, http::status::bad_request, ToJson(faults));
+  auto desired = ParseConfiguration(aRequest.body(), 0, faults);
+  if (!desired) {
+    return MakeJsonResponse(aRequest, http::status::bad_request,
+                            ToJson(faults));
   }
   auto newest = mConfigurations.Read();
   if (!newest) {
-    return AnswerError(aRequest, newest.error());
+    return MakeErrorResponse(aRequest, newest.error());
   }
   auto base = mConfigurations.FindBase(
-    wanted->mVersion, *newest ? (*newest)->mConfiguration : nullptr);
+    desired->mVersion, *newest ? (*newest)->mConfiguration : nullptr);
   if (!base) {
-    return AnswerError(aRequest, base.error());
+    return MakeErrorResponse(aRequest, base.error());
   }
-  return Commit(aRequest, { *base, wanted, aUser.mName, IfMatch(aRequest) });
+  return Commit(aRequest,
+                { *base, desired, aUser.mName, ParseIfMatch(aRequest) });
 }
 
 HttpResponse AdminHandlers::PutPolicy(const HttpRequest& aRequest,
@@ -233,7 +237,8 @@
     name = aReader.RequiredString("name");
   });
   if (!faults.IsEmpty()) {
-    return AnswerJson(aRequest, http::status::bad_request, ToJson(faults));
+    return MakeJsonResponse(aRequest, http::status::bad_request,
+                            ToJson(faults));
   }
   return ApplyEdit(aRequest, aUser, [&](const Configuration& aNewest) {
     return WithPolicy(aNewest, name);
@@ -245,18 +250,20 @@
 {
   auto newest = mConfigurations.Read();
   if (!newest) {
-    return AnswerError(aRequest, newest.error());
+    return MakeErrorResponse(aRequest, newest.error());
   }
   if (!*newest) {
-    return AnswerError(aRequest, { ErrorKind::NotFound, "no configuration yet",
-                                   "PUT one to /v1/config" });
+    return MakeErrorResponse(
+      aRequest,
+      { ErrorKind::NotFound, "no configuration yet", "PUT one to /v1/config" });
   }
   ConfigurationPtr base = (*newest)->mConfiguration;
-  auto wanted = aEdit(*base);
-  if (!wanted) {
-    return AnswerError(aRequest, wanted.error());
+  auto desired = aEdit(*base);
+  if (!desired) {
+    return MakeErrorResponse(aRequest, desired.error());
   }
-  return Commit(aRequest, { base, *wanted, aUser.mName, IfMatch(aRequest) });
+  return Commit(aRequest,
+                { base, *desired, aUser.mName, ParseIfMatch(aRequest) });
 }
 
 HttpResponse AdminHandlers::Commit(const HttpRequest& aRequest,
@@ -264,7 +271,7 @@
 {
   auto done = mConfigurations.Commit(aChange);
   if (!done) {
-    return AnswerError(aRequest, done.error());
+    return MakeErrorResponse(aRequest, done.error());
   }
   const auto& head = done->mStored.mHead;
   json::object out;
@@ -273,20 +280,20 @@
   out["time_ms"] = head.mTimeMs;
   out["unchanged"] = done->mUnchanged;
   out["rebased"] = done->mRebased;
-  return AnswerJson(aRequest, http::status::ok, out);
+  return MakeJsonResponse(aRequest, http::status::ok, out);
 }
 
 HttpResponse AdminHandlers::GetStatus(const HttpRequest& aRequest)
 {
   auto newest = mConfigurations.ReadNewestHead();
   if (!newest) {
-    return AnswerError(aRequest, newest.error());
+    return MakeErrorResponse(aRequest, newest.error());
   }
-  auto status = ReadStatusObjects(mCalls);
+  auto status = ReadStatusObjects(mStore);
   if (!status) {
-    return AnswerError(aRequest, status.error());
+    return MakeErrorResponse(aRequest, status.error());
   }
-  return AnswerJson(
+  return MakeJsonResponse(
     aRequest, http::status::ok,
     heatherplank::ToJson(MakeStatusView(*newest, *status, NowMs())));
 }
@@ -295,17 +302,18 @@
 {
   auto newest = mConfigurations.Read();
   if (!newest) {
-    return AnswerError(aRequest, newest.error());
+    return MakeErrorResponse(aRequest, newest.error());
   }
-  auto status = ReadStatusObjects(mCalls);
+  auto status = ReadStatusObjects(mStore);
   if (!status) {
-    return AnswerError(aRequest, status.error());
+    return MakeErrorResponse(aRequest, status.error());
   }
   PolicyChoice policy;
   if (*newest) {
     policy = (*newest)->mConfiguration->mPolicy;
   }
-  return AnswerJson(aRequest, http::status::ok, ReportToJson(*status, policy));
+  return MakeJsonResponse(aRequest, http::status::ok,
+                          ReportToJson(*status, policy));
 }
 
 } // namespace heatherplank
--- a/src/admin/AdminHandlers.h
+++ b/src/admin/AdminHandlers.h
@@ -11,19 +11,19 @@
 
 namespace heatherplank {
 
-/** What each path of the administration API does. Blocks on the platform; not
+/** Request handlers of the administration API. Calls block on the platform. Not
  * thread safe.
  */
 class AdminHandlers
 {
 public:
-  /** aStore outlives it. */
+  /** aStore must outlive the handlers. */
   explicit AdminHandlers(ObjectStore& aStore);
 
-  /** Serves a request of a user who may make it. */
+  /** Serves a request. Precondition: aUser has the permission for it. */
   HttpResponse Serve(const HttpRequest& aRequest, const AdminUser& aUser);
 
-  /** True for requests that change nothing. Thread safe. */
+  /** Returns true for requests that change nothing. Thread safe. */
   static bool IsRead(const HttpRequest& aRequest);
 
 private:
@@ -42,7 +42,7 @@
   HttpResponse GetStatus(const HttpRequest& aRequest);
   HttpResponse GetReport(const HttpRequest& aRequest);
 
-  SyncObjectStore mCalls;
+  SyncObjectStore mStore;
   ConfigurationStore mConfigurations;
 };
 
--- a/src/admin/AdminTokens.cpp
+++ b/src/admin/AdminTokens.cpp
@@ -14,9 +14,9 @@
 constexpr std::array<std::string_view, 2> kRoles{ "read-only", "operator" };
 constexpr std::string_view kScheme = "Bearer ";
 
-/** Looks at every byte whatever it finds: a comparison that stops at the first
- * difference tells by its time how much of a guessed token was right. */
-bool IsSame(std::string_view aLeft, std::string_view aRight)
+/** Always compares every byte: if a comparison stopped at the first difference,
+ * its duration would reveal how much of a guessed token is right. */
+bool IsEqualConstantTime(std::string_view aLeft, std::string_view aRight)
 {
   unsigned difference = aLeft.size() == aRight.size() ? 0 : 1;
   for (std::size_t i = 0; i < aLeft.size(); ++i) {
@@ -44,11 +44,12 @@
     entry.mToken = aReader.RequiredString("token");
     if (entry.mToken.size() < kMinTokenBytes) {
       aReader.AddFault("token", "fewer than 16 characters",
-                       "give a random one, such as `openssl rand -hex 32`");
+                       "use a random one, such as from `openssl rand -hex 32`");
     }
     if (std::ranges::find(out.mEntries, entry.mToken, &Entry::mToken) !=
         out.mEntries.end()) {
-      aReader.AddFault("token", "stands twice", "give each name its own");
+      aReader.AddFault("token", "is listed twice",
+                       "give each name its own token");
     }
     out.mEntries.push_back(std::move(entry));
   };
@@ -79,7 +80,7 @@
   }
   std::string_view token = aAuthorization.substr(kScheme.size());
   for (const auto& it : mEntries) {
-    if (IsSame(token, it.mToken)) {
+    if (IsEqualConstantTime(token, it.mToken)) {
       out = it.mUser;
     }
   }
--- a/src/admin/AdminTokens.h
+++ b/src/admin/AdminTokens.h
@@ -9,7 +9,7 @@
 
 namespace heatherplank {
 
-/** What the holder of a token may do. */
+/** Permissions of the holder of a token. */
 enum class AdminRole : std::uint8_t
 {
   /** Read configuration, status and report. */
@@ -18,7 +18,7 @@
   Operator,
 };
 
-/** A holder of a token. */
+/** The holder of a token. */
 struct AdminUser
 {
   std::string mName;
@@ -29,16 +29,17 @@
 class AdminTokens
 {
 public:
-  /** Reads {"tokens": [{"name": N, "role": "read-only"|"operator", "token":
-   * T}]}, JSON with comments; InvalidInput with every fault. Tokens have at
-   * least 16 characters, and no two are the same.
+  /** Parses {"tokens": [{"name": N, "role": "read-only"|"operator", "token":
+   * T}]}, JSON with comments; InvalidInput that lists every fault. Tokens have
+   * at least 16 characters and are unique.
    */
   static Result<AdminTokens> Parse(std::string_view aText,
                                    const std::string& aFile);
+  /** Reads a token file; errors as for Parse. */
   static Result<AdminTokens> Read(const std::string& aFile);
 
-  /** The holder of the token in an Authorization header ("Bearer T"). Takes as
-   * long for a wrong token as for a right one. */
+  /** Returns the holder of the token in an Authorization header ("Bearer T").
+   * Takes as long for a wrong token as for a right one. */
   std::optional<AdminUser> Find(std::string_view aAuthorization) const;
 
 private:
--- a/src/caller/Answer.cpp
+++ b/src/caller/Answer.cpp
@@ -43,8 +43,8 @@
   if (!aAnswer.mReason.empty()) {
     head.set("Refusal-Reason", aAnswer.mReason);
   }
-  bool comesBack = aAnswer.mRetryAfter > Duration::zero();
-  if (aAnswer.mOutcome == Outcome::NotRun || comesBack) {
+  bool mayRetry = aAnswer.mRetryAfter > Duration::zero();
+  if (aAnswer.mOutcome == Outcome::NotRun || mayRetry) {
     auto ms = ceil<milliseconds>(aAnswer.mRetryAfter).count();
     auto s = ceil<seconds>(aAnswer.mRetryAfter).count();
     head.set("Retry-After-Ms", std::to_string(ms));
@@ -130,8 +130,8 @@
   std::size_t first = aRange ? aRange->mFirst : 0;
   std::size_t last = aRange ? std::min(aRange->mLast, total - 1) : total - 1;
   std::vector<std::string> datagrams;
-  // Ranges start at multiples of the datagram's share, so that one asked for
-  // again is the same bytes as the first time.
+  // Ranges start at multiples of kMaxBodyPerDatagram, so that a range that is
+  // requested again has the same bytes.
   first -= first % kMaxBodyPerDatagram;
   for (std::size_t at = first; at <= last; at += kMaxBodyPerDatagram) {
     datagrams.push_back(WriteRange(aAnswer, head, at));
--- a/src/caller/Answer.h
+++ b/src/caller/Answer.h
@@ -11,14 +11,14 @@
 
 namespace heatherplank {
 
-/** What became of a request, as the caller is told. */
+/** Outcome of a request, as reported to the caller. */
 enum class Outcome : std::uint8_t
 {
-  /** The backend server ran it; the answer is its own. */
+  /** The backend server ran the request and produced the answer. */
   Run = 0,
-  /** It was not run, and will not be unless asked again. */
+  /** The request was not run, and will not be unless it is sent again. */
   NotRun = 1,
-  /** It may have run; it will not be run again. */
+  /** The request may have run; it will not be run again. */
   Unknown = 2,
 };
 
@@ -29,35 +29,35 @@
 {
   unsigned mStatus = 200;
   Outcome mOutcome = Outcome::Run;
-  /** With NotRun and Unknown: the counter's reason. */
+  /** With NotRun and Unknown: the reason, as counted in the metrics. */
   std::string mReason;
-  /** When to come back; zero if there is nothing to come back for. */
+  /** Time after which to retry; zero if a retry is of no use. */
   Duration mRetryAfter{ 0 };
   std::string mContentType;
   std::string mBody;
-  /** The host that ran it, and its service. */
+  /** Host that ran the request, and its service. */
   std::string mServedBy;
   std::string mService;
 };
 
-/** Body bytes of an answer that go into one datagram: with its headers it
- * stays under the 1,500 bytes of an Ethernet frame. */
+/** Maximum body bytes of an answer in one datagram: with its headers, the
+ * datagram stays under the 1,500 bytes of an Ethernet frame. */
 constexpr std::size_t kMaxBodyPerDatagram = 1100;
 
-/** A refusal: not run, and when to come back. */
+/** Makes an answer for a rejected request: not run, and when to retry. */
 Answer MakeNotRun(unsigned aStatus, std::string_view aReason,
                   Duration aRetryAfter);
 
-/** An answer for what may have run, with nothing to come back for. */
+/** Makes an answer for a request that may have run; a retry is of no use. */
 Answer MakeUnknown(std::string_view aReason);
 
-/** A refusal by a process that can't tell whether another one ran the request:
- * unknown, and when to ask again under the same key. */
+/** Makes an answer by a process that can't tell whether another process ran the
+ * request: unknown, and when to retry with the same idempotency key. */
 Answer MakeUnsure(std::string_view aReason, Duration aRetryAfter);
 
-/** The datagrams of an answer: one, or one a range if the body is too large.
- * With aRange, only those that cover it. An epoch of 0, where nobody owns the
- * flow, is left out. Thread safe.
+/** Serialises an answer into datagrams: one, or one per byte range if the body
+ * is too large; with aRange, only those that cover it. An epoch of 0, of a flow
+ * without owner, is omitted. Thread safe.
  */
 std::vector<std::string> WriteAnswer(const Answer& aAnswer,
                                      std::string_view aRequestId,
--- a/src/caller/AnswerCodec.cpp
+++ b/src/caller/AnswerCodec.cpp
@@ -18,7 +18,7 @@
 Result<Answer> FromWire(const wire::KeptAnswer& aFrom)
 {
   if (aFrom.outcome() > static_cast<std::uint8_t>(Outcome::Unknown)) {
-    return MalformedMessage("outcome of a kept answer");
+    return MalformedMessage("outcome of a retained answer");
   }
   Answer answer;
   answer.mStatus = aFrom.status();
@@ -60,15 +60,15 @@
 
 Result<Answer> UnpackAnswer(std::string_view aBytes)
 {
-  // Copied, since the bytes of a string need not be aligned.
+  // Copied, since FlatBuffers needs alignment, which a string does not ensure.
   Bytes bytes(aBytes.begin(), aBytes.end());
-  auto read = ReadRoot<wire::KeptAnswers>(bytes, "kept answer");
+  auto read = ReadRoot<wire::KeptAnswers>(bytes, "retained answer");
   if (!read) {
     return tl::unexpected(read.error());
   }
   const auto* answers = (*read)->answers();
   if (answers == nullptr || answers->size() != 1) {
-    return MalformedMessage("kept answer");
+    return MalformedMessage("retained answer");
   }
   return FromWire(*answers->Get(0));
 }
--- a/src/caller/AnswerCodec.h
+++ b/src/caller/AnswerCodec.h
@@ -9,15 +9,15 @@
 
 namespace heatherplank {
 
-/** An answer as a table of answers.fbs, and back. Thread safe. */
+/** Converts an answer to a table of answers.fbs, and back. Thread safe. */
 flatbuffers::Offset<wire::KeptAnswer> ToWire(
   flatbuffers::FlatBufferBuilder& aBuilder, const std::string& aRequestId,
   const Answer& aAnswer);
 Result<Answer> FromWire(const wire::KeptAnswer& aFrom);
 
-/** One answer as bytes, to be kept where a repeat can find it. Thread safe. */
+/** Serialises one answer, to be retained for repeated requests. Thread safe. */
 std::string PackAnswer(const Answer& aAnswer);
-/** Malformed if the bytes are no such answer. Thread safe. */
+/** Parses the output of PackAnswer; Malformed for other bytes. Thread safe. */
 Result<Answer> UnpackAnswer(std::string_view aBytes);
 
 } // namespace heatherplank
--- a/src/caller/CallerRequest.cpp
+++ b/src/caller/CallerRequest.cpp
@@ -14,18 +14,19 @@
 
 namespace {
 
-constexpr std::size_t kMaxHeader = 8192;
-constexpr std::size_t kMaxBody = 65536;
-constexpr std::int64_t kLongestTimeoutMs = 600000;
+constexpr std::size_t kMaxHeaderBytes = 8192;
+constexpr std::size_t kMaxBodyBytes = 65536;
+constexpr std::int64_t kMaxTimeoutMs = 600000;
 
 std::string Text(boost::beast::string_view aText)
 {
   return { aText.data(), aText.size() };
 }
 
-tl::unexpected<Error> Bad(const std::string& aWhat, const char* aRemedy)
+tl::unexpected<Error> MalformedRequest(const std::string& aMessage,
+                                       const char* aRemedy)
 {
-  return Fail(ErrorKind::Malformed, aWhat, aRemedy);
+  return Fail(ErrorKind::Malformed, aMessage, aRemedy);
 }
 
 template<typename T>
@@ -39,9 +40,9 @@
 Result<void> ReadTimeout(const std::string& aText, CallerRequest& aOut)
 {
   std::int64_t ms = 0;
-  if (!ReadNumber(aText, ms) || ms <= 0 || ms > kLongestTimeoutMs) {
-    return Bad("Request-Timeout-Ms is \"" + aText + "\"",
-               "send whole milliseconds from 1 to 600000");
+  if (!ReadNumber(aText, ms) || ms <= 0 || ms > kMaxTimeoutMs) {
+    return MalformedRequest("Request-Timeout-Ms is \"" + aText + "\"",
+                            "send an integer of milliseconds from 1 to 600000");
   }
   aOut.mTimeout = std::chrono::milliseconds(ms);
   return {};
@@ -53,13 +54,14 @@
   std::string_view text = aText;
   auto dash = text.find('-');
   ByteRange range;
-  bool good =
+  bool isValid =
     text.starts_with(kUnit) && dash != std::string_view::npos &&
     ReadNumber(text.substr(kUnit.size(), dash - kUnit.size()), range.mFirst) &&
     ReadNumber(text.substr(dash + 1), range.mLast) &&
     range.mFirst <= range.mLast;
-  if (!good) {
-    return Bad("Range is \"" + aText + "\"", "send bytes=FIRST-LAST");
+  if (!isValid) {
+    return MalformedRequest("Range is \"" + aText + "\"",
+                            "send bytes=FIRST-LAST");
   }
   aOut.mRange = range;
   return {};
@@ -69,12 +71,14 @@
 {
   aOut.mRequestId = Text(aFrom["Request-Id"]);
   if (aOut.mRequestId.empty() || aOut.mRequestId.size() > kMaxRequestId) {
-    return Bad("Request-Id is missing or too long",
-               "send one of 1 to 128 bytes, unique within the flow");
+    return MalformedRequest(
+      "Request-Id is missing or too long",
+      "send one of 1 to 128 bytes, unique within the flow");
   }
   aOut.mIdempotencyKey = Text(aFrom["Idempotency-Key"]);
   if (aOut.mIdempotencyKey.size() > kMaxIdempotencyKey) {
-    return Bad("Idempotency-Key is too long", "send at most 200 bytes");
+    return MalformedRequest("Idempotency-Key is too long",
+                            "send at most 200 bytes");
   }
   aOut.mCancel = aFrom["X-Cancel"] == "1";
   if (auto it = aFrom.find("Request-Timeout-Ms"); it != aFrom.end()) {
@@ -94,14 +98,14 @@
 Result<CallerRequest> ParseCallerRequest(ByteView aDatagram)
 {
   http::request_parser<http::string_body> parser;
-  parser.header_limit(kMaxHeader);
-  parser.body_limit(kMaxBody);
+  parser.header_limit(kMaxHeaderBytes);
+  parser.body_limit(kMaxBodyBytes);
   parser.eager(true);
   boost::system::error_code ec;
   parser.put(boost::asio::buffer(aDatagram.data(), aDatagram.size()), ec);
   if (ec || !parser.is_done()) {
-    return Bad("the datagram holds no whole HTTP/1.1 request",
-               "send one whole message a datagram");
+    return MalformedRequest("the datagram is not one complete HTTP/1.1 request",
+                            "send one complete message per datagram");
   }
   const HttpRequest& from = parser.get();
   CallerRequest request;
--- a/src/caller/CallerRequest.h
+++ b/src/caller/CallerRequest.h
@@ -10,14 +10,14 @@
 
 namespace heatherplank {
 
-/** The bytes first to last of a body, both included. */
+/** A range of a body's bytes; both ends are inclusive. */
 struct ByteRange
 {
   std::size_t mFirst = 0;
   std::size_t mLast = 0;
 };
 
-/** A caller's request, as read from one datagram; docs/CONTRACTS.md gives the
+/** A caller's request, parsed from one datagram; docs/CONTRACTS.md lists the
  * headers. */
 struct CallerRequest
 {
@@ -32,18 +32,18 @@
   bool mCancel = false;
 };
 
-/** Longest request id and idempotency key that is accepted, in bytes; both are
- * kept in tables. */
+/** Maximum length of a request id and of an idempotency key, in bytes; limited
+ * because both are stored in tables. */
 constexpr std::size_t kMaxRequestId = 128;
 constexpr std::size_t kMaxIdempotencyKey = 200;
 
-/** Reads a whole HTTP/1.1 request from a datagram; Malformed with the remedy
- * for anything else. Thread safe.
+/** Parses a complete HTTP/1.1 request from a datagram; Malformed with the
+ * remedy for anything else. Thread safe.
  */
 Result<CallerRequest> ParseCallerRequest(ByteView aDatagram);
 
-/** The datagram of a request; ParseCallerRequest reads it back. Thread safe.
- */
+/** Serialises a request into a datagram that ParseCallerRequest parses. Thread
+ * safe. */
 std::string WriteCallerRequest(const CallerRequest& aRequest);
 
 } // namespace heatherplank
--- a/src/cli/CommandContext.cpp
+++ b/src/cli/CommandContext.cpp
@@ -25,9 +25,9 @@
                                              HttpObjectStore::Options());
   SyncObjectStore::Options options;
   options.mSeed = std::random_device()();
-  mCalls = std::make_unique<SyncObjectStore>(*mStore, std::move(options));
+  mSyncStore = std::make_unique<SyncObjectStore>(*mStore, std::move(options));
   mConfigurations = std::make_unique<ConfigurationStore>(
-    *mCalls, ConfigurationStore::Options());
+    *mSyncStore, ConfigurationStore::Options());
   mThread = std::thread([this] { mContext.run(); });
 }
 
@@ -56,7 +56,7 @@
   }
   if (!*out) {
     return Fail(ErrorKind::NotFound, "the platform holds no configuration yet",
-                "write one and give it to `heatherplank apply`");
+                "write one and apply it with `heatherplank apply`");
   }
   return std::move(**out);
 }
@@ -67,7 +67,7 @@
   return ToExitCode(aError);
 }
 
-std::string AuthorOf()
+std::string GetAuthor()
 {
   if (!FLAGS_author.empty()) {
     return FLAGS_author;
@@ -93,8 +93,8 @@
   return answer == "y" || answer == "yes";
 }
 
-ExitCode CommitAndTell(CommandContext& aContext, const char* aCommand,
-                       const ConfigurationChange& aChange)
+ExitCode CommitAndReport(CommandContext& aContext, const char* aCommand,
+                         const ConfigurationChange& aChange)
 {
   auto done = aContext.Configurations().Commit(aChange);
   if (!done) {
@@ -116,7 +116,7 @@
     return ExitCode::Ok;
   }
   std::cout << "Accepted: " << DescribeHead(head)
-            << (done->mRebased ? " (redone on top of a newer version)" : "")
+            << (done->mRebased ? " (rebased onto a newer version)" : "")
             << "\n";
   return ExitCode::Ok;
 }
--- a/src/cli/CommandContext.h
+++ b/src/cli/CommandContext.h
@@ -16,21 +16,21 @@
 
 namespace heatherplank {
 
-/** What the commands share: the platform named by --platform, on a thread of
- * its own, and the configuration there. Not thread safe.
+/** State that the commands share: the client of the platform given by
+ * --platform, on its own thread, and the configuration there. Not thread safe.
  */
 class CommandContext
 {
 public:
-  /** Reads --platform; InvalidInput with the remedy if it is no address. */
+  /** Reads --platform; InvalidInput with the remedy if it is not an address. */
   static Result<std::unique_ptr<CommandContext>> Make();
 
   ~CommandContext();
 
   ConfigurationStore& Configurations() { return *mConfigurations; }
-  SyncObjectStore& Platform() { return *mCalls; }
+  SyncObjectStore& Platform() { return *mSyncStore; }
 
-  /** The newest version; NotFound if there is none yet. */
+  /** Reads the newest configuration; NotFound if there is none yet. */
   Result<StoredConfiguration> ReadNewest();
 
 private:
@@ -40,24 +40,25 @@
   boost::asio::executor_work_guard<boost::asio::io_context::executor_type>
     mWork;
   std::unique_ptr<HttpObjectStore> mStore;
-  std::unique_ptr<SyncObjectStore> mCalls;
+  std::unique_ptr<SyncObjectStore> mSyncStore;
   std::unique_ptr<ConfigurationStore> mConfigurations;
   std::thread mThread;
 };
 
-/** Writes "heatherplank COMMAND: error" to standard error and gives the exit
+/** Writes "heatherplank COMMAND: error" to standard error and returns the exit
  * code. */
 ExitCode ReportError(const char* aCommand, const Error& aError);
 
-/** Whom a change is written down to: --author, else the user's name. */
-std::string AuthorOf();
+/** Returns the author to record with a change: --author, else the user's name.
+ */
+std::string GetAuthor();
 
-/** Shows the lines of a change and asks on the terminal unless --yes; false if
- * the answer is not yes. */
+/** Prints the lines of a change and prompts for confirmation unless --yes;
+ * false if the operator declines. */
 bool Confirm(const std::vector<std::string>& aLines);
 
-/** Has a change accepted and says what came of it, as text or --json. */
-ExitCode CommitAndTell(CommandContext& aContext, const char* aCommand,
-                       const ConfigurationChange& aChange);
+/** Commits a change and prints the result, as text or, with --json, as JSON. */
+ExitCode CommitAndReport(CommandContext& aContext, const char* aCommand,
+                         const ConfigurationChange& aChange);
 
 } // namespace heatherplank
--- a/src/cli/CommandLine.cpp
+++ b/src/cli/CommandLine.cpp
@@ -33,9 +33,9 @@
 
 namespace {
 
-using Words = std::span<const std::string>;
+using Arguments = std::span<const std::string>;
 
-/** The adapter that the program was started with; set before any command. */
+/** The adapter passed to RunCommandLine; set before any command runs. */
 const PlatformAdapter*& Adapter()
 {
   static const PlatformAdapter* sAdapter = nullptr;
@@ -52,21 +52,21 @@
   return options;
 }
 
-ExitCode RunBalancer(Words)
+ExitCode RunBalancer(Arguments)
 {
   return RunProcess(Options(), ReadBalancerSettings, [](const auto& aSettings) {
     return Balancer::Make(aSettings, FLAGS_fault_injection);
   });
 }
 
-ExitCode RunAgent(Words)
+ExitCode RunAgent(Arguments)
 {
   return RunProcess(Options(), ReadAgentSettings, [](const auto& aSettings) {
     return Agent::Make(aSettings, FLAGS_fault_injection);
   });
 }
 
-ExitCode RunFlowBalancer(Words)
+ExitCode RunFlowBalancer(Arguments)
 {
   auto read = [] { return ReadFlowBalancerSettings(Options().mSettingsFile); };
   return RunProcess(Options(), ReadFlowBalancerSettings,
@@ -75,7 +75,7 @@
                     });
 }
 
-ExitCode RunFlowAgent(Words)
+ExitCode RunFlowAgent(Arguments)
 {
   auto read = [] { return ReadFlowAgentSettings(Options().mSettingsFile); };
   return RunProcess(Options(), ReadFlowAgentSettings,
@@ -84,25 +84,25 @@
                     });
 }
 
-ExitCode RunReplayCommand(Words aTraces)
+ExitCode RunReplayCommand(Arguments aTraces)
 {
   if (aTraces.empty()) {
-    std::fputs("heatherplank: replay needs a trace; give its file\n", stderr);
+    std::fputs("heatherplank: replay needs a trace file\n", stderr);
     return ExitCode::Usage;
   }
   return static_cast<ExitCode>(RunReplay(aTraces, std::cout));
 }
 
-ExitCode RunExplain(Words aWords)
+ExitCode RunExplain(Arguments aArguments)
 {
-  if (aWords.size() < 2) {
+  if (aArguments.size() < 2) {
     std::fputs("heatherplank: explain needs a flow and logs; give CALLER:PORT>"
-               "SERVICE:PORT and the files\n",
+               "SERVICE:PORT and the log files\n",
                stderr);
     return ExitCode::Usage;
   }
   std::vector<LogLine> lines;
-  for (const std::string& file : aWords.subspan(1)) {
+  for (const std::string& file : aArguments.subspan(1)) {
     std::ifstream in(file);
     if (!in) {
       return ReportStartError({ ErrorKind::InvalidInput, "can't read " + file,
@@ -115,16 +115,16 @@
       }
     }
   }
-  auto story = TellFlow(lines, aWords[0]);
-  for (const LogLine& it : story) {
+  auto events = TellFlow(lines, aArguments[0]);
+  for (const LogLine& it : events) {
     std::printf("%s %s%s\n", it.mTime.c_str(), it.mFlow.empty() ? "  " : "* ",
                 it.mText.c_str());
   }
-  if (story.empty()) {
+  if (events.empty()) {
     return ReportStartError({ ErrorKind::NotFound,
-                              "no line of flow " + aWords[0],
+                              "no log line of flow " + aArguments[0],
                               "give the logs of all balancers and agents of "
-                              "that time, and the id as it stands in them" });
+                              "that time, and the flow id as logged" });
   }
   return ExitCode::Ok;
 }
@@ -133,8 +133,8 @@
 {
   std::string_view mName;
   std::string_view mSummary;
-  ExitCode (*mRun)(Words);
-  /** Flags that it takes. */
+  ExitCode (*mRun)(Arguments);
+  /** Flags that it accepts. */
   std::vector<std::string_view> mFlags;
 };
 
@@ -146,7 +146,7 @@
       RunBalancer,
       { "settings", "fault_injection" } },
     { "agent",
-      "runs the agent beside a backend server",
+      "runs the agent on the host of a backend server",
       RunAgent,
       { "settings", "fault_injection" } },
     { "flow-balancer",
@@ -154,12 +154,12 @@
       RunFlowBalancer,
       { "settings", "settings_env" } },
     { "flow-agent",
-      "runs the agent beside a host of opaque flows",
+      "runs the agent of a host of opaque flows",
       RunFlowAgent,
       { "settings", "settings_env" } },
     { "check", "checks a configuration file", RunCheck, { "json" } },
     { "apply",
-      "puts a configuration in force",
+      "applies a configuration",
       RunApply,
       { "platform", "yes", "if_version", "json", "author" } },
     { "get",
@@ -171,23 +171,23 @@
       RunPolicy,
       { "platform", "yes", "if_version", "json", "author" } },
     { "status",
-      "shows what is in force where",
+      "shows the configuration version at each process",
       RunStatus,
       { "platform", "json" } },
     { "report",
-      "shows how each policy fared",
+      "shows the results of each balancing policy",
       RunReport,
       { "platform", "json", "svg" } },
     { "drain",
-      "drains a host, or takes it back",
+      "drains a host, or ends its drain",
       RunDrain,
       { "platform", "yes", "undo", "if_version", "json", "author" } },
     { "explain",
-      "prints the story of one flow from logs: explain FLOW LOG...",
+      "prints the events of one flow from logs: explain FLOW LOG...",
       RunExplain,
       {} },
     { "replay",
-      "plays recorded traces into the decisions",
+      "replays recorded traces through the decision logic",
       RunReplayCommand,
       {} },
   };
@@ -196,15 +196,16 @@
 
 void PrintOverview(std::FILE* aOut)
 {
-  std::fputs("heatherplank, a layer-4 load balancer\n\n"
-             "usage: heatherplank COMMAND [--flag=value ...] [WORD ...]\n\n",
-             aOut);
+  std::fputs(
+    "heatherplank, a layer-4 load balancer\n\n"
+    "usage: heatherplank COMMAND [--flag=value ...] [ARGUMENT ...]\n\n",
+    aOut);
   for (const auto& it : AllCommands()) {
     std::fprintf(aOut, "  %-14s %s\n", std::string(it.mName).c_str(),
                  std::string(it.mSummary).c_str());
   }
   std::fputs("\nheatherplank COMMAND --help shows its flags; "
-             "heatherplank --version the release.\n",
+             "heatherplank --version shows the release.\n",
              aOut);
 }
 
@@ -237,19 +238,19 @@
   return it == all.end() ? nullptr : &*it;
 }
 
-/** The name of a word that is a flag ("--yes=true" gives "yes"), or "". */
-std::string FlagName(std::string_view aWord)
+/** Returns the name of a flag ("yes" of "--yes=true"); "" if not a flag. */
+std::string FlagName(std::string_view aArgument)
 {
-  if (!aWord.starts_with("-") || aWord.size() < 2) {
+  if (!aArgument.starts_with("-") || aArgument.size() < 2) {
     return {};
   }
-  aWord.remove_prefix(aWord.starts_with("--") ? 2 : 1);
-  std::string name(aWord.substr(0, aWord.find('=')));
+  aArgument.remove_prefix(aArgument.starts_with("--") ? 2 : 1);
+  std::string name(aArgument.substr(0, aArgument.find('=')));
   std::replace(name.begin(), name.end(), '-', '_');
   return name;
 }
 
-bool Takes(const Command& aCommand, const std::string& aFlag)
+bool AcceptsFlag(const Command& aCommand, const std::string& aFlag)
 {
   auto has = [&](std::string_view aName) {
     return std::find(aCommand.mFlags.begin(), aCommand.mFlags.end(), aName) !=
@@ -258,31 +259,33 @@
   return has(aFlag) || (aFlag.starts_with("no") && has(aFlag.substr(2)));
 }
 
-ExitCode Refuse(const std::string& aWhat, const std::string& aRemedy)
+ExitCode ReportUsageError(const std::string& aMessage,
+                          const std::string& aRemedy)
 {
-  std::fprintf(stderr, "heatherplank: %s; %s\n", aWhat.c_str(),
+  std::fprintf(stderr, "heatherplank: %s; %s\n", aMessage.c_str(),
                aRemedy.c_str());
   return ExitCode::Usage;
 }
 
-/** Sets the flags and collects the other words. gflags' own parser would end
- * the process on an unknown flag, with a code of its own. */
+/** Sets the flags and collects the positional arguments. gflags' own parser
+ * would exit the process on an unknown flag, with an exit code of its own. */
 ExitCode Parse(const Command& aCommand, std::span<char*> aArguments,
-               std::vector<std::string>& aWords)
+               std::vector<std::string>& aPositional)
 {
   std::string name(aCommand.mName);
   std::string help = "see heatherplank " + name + " --help";
   for (std::size_t i = 0; i < aArguments.size(); ++i) {
-    std::string word = aArguments[i];
-    std::string flag = FlagName(word);
+    std::string argument = aArguments[i];
+    std::string flag = FlagName(argument);
     if (flag.empty()) {
-      aWords.push_back(word);
+      aPositional.push_back(argument);
       continue;
     }
-    if (!Takes(aCommand, flag)) {
-      return Refuse(name.append(" has no flag ").append(word), help);
+    if (!AcceptsFlag(aCommand, flag)) {
+      return ReportUsageError(name.append(" has no flag ").append(argument),
+                              help);
     }
-    auto equals = word.find('=');
+    auto equals = argument.find('=');
     std::string value;
     gflags::CommandLineFlagInfo info;
     if (flag.starts_with("no") &&
@@ -290,50 +293,50 @@
       flag = flag.substr(2);
       value = "false";
     } else if (equals != std::string::npos) {
-      value = word.substr(equals + 1);
+      value = argument.substr(equals + 1);
     } else if (gflags::GetCommandLineFlagInfo(flag.c_str(), &info) &&
                info.type == "bool") {
       value = "true";
     } else if (i + 1 < aArguments.size()) {
       value = aArguments[++i];
     } else {
-      return Refuse("flag " + word + " has no value", help);
+      return ReportUsageError("flag " + argument + " has no value", help);
     }
     if (gflags::SetCommandLineOption(flag.c_str(), value.c_str()).empty()) {
-      std::string what = "flag --";
-      what.append(flag).append(" can't be \"").append(value).append("\"");
-      return Refuse(what, help);
+      std::string message = "flag --";
+      message.append(flag).append(" can't be \"").append(value).append("\"");
+      return ReportUsageError(message, help);
     }
   }
   return ExitCode::Ok;
 }
 
-ExitCode RunCommandLine(std::span<char*> aWords)
+ExitCode RunCommandLine(std::span<char*> aArguments)
 {
-  std::string first = aWords.size() > 1 ? aWords[1] : "--help";
+  std::string first = aArguments.size() > 1 ? aArguments[1] : "--help";
   if (first == "--version") {
     std::puts("heatherplank " HEATHERPLANK_VERSION);
     return ExitCode::Ok;
   }
   if (first == "--help" || first == "-h" || first == "help") {
-    PrintOverview(aWords.size() > 1 ? stdout : stderr);
-    return aWords.size() > 1 ? ExitCode::Ok : ExitCode::Usage;
+    PrintOverview(aArguments.size() > 1 ? stdout : stderr);
+    return aArguments.size() > 1 ? ExitCode::Ok : ExitCode::Usage;
   }
   const Command* command = FindCommand(first);
   if (command == nullptr) {
-    return Refuse("there is no command \"" + first + "\"",
-                  "see heatherplank --help");
+    return ReportUsageError("unknown command \"" + first + "\"",
+                            "see heatherplank --help");
   }
-  auto rest = aWords.subspan(2);
+  auto rest = aArguments.subspan(2);
   for (const char* it : rest) {
     if (std::string_view(it) == "--help" || std::string_view(it) == "-h") {
       PrintHelp(*command);
       return ExitCode::Ok;
     }
   }
-  std::vector<std::string> left;
-  ExitCode parsed = Parse(*command, rest, left);
-  return parsed != ExitCode::Ok ? parsed : command->mRun(left);
+  std::vector<std::string> positional;
+  ExitCode parsed = Parse(*command, rest, positional);
+  return parsed != ExitCode::Ok ? parsed : command->mRun(positional);
 }
 
 } // namespace
@@ -342,8 +345,8 @@
                    const PlatformAdapter& aAdapter)
 {
   Adapter() = &aAdapter;
-  std::span<char*> words(aArguments, static_cast<std::size_t>(aCount));
-  return static_cast<int>(RunCommandLine(words));
+  std::span<char*> arguments(aArguments, static_cast<std::size_t>(aCount));
+  return static_cast<int>(RunCommandLine(arguments));
 }
 
 } // namespace heatherplank
--- a/src/cli/CommandLine.h
+++ b/src/cli/CommandLine.h
@@ -4,9 +4,9 @@
 
 class PlatformAdapter;
 
-/** Runs the binary: finds the command, checks its flags and words, runs it.
- * Processes of the pass-through path reach their platform by aAdapter. Gives
- * the exit code. Not thread safe; call once.
+/** Parses the command with its flags and arguments, and runs it. Processes of
+ * the pass-through path access their platform through aAdapter. Returns the
+ * exit code. Not thread safe; call once.
  */
 int RunCommandLine(int aCount, char** aArguments,
                    const PlatformAdapter& aAdapter);
--- a/src/cli/ConfigurationCommands.cpp
+++ b/src/cli/ConfigurationCommands.cpp
@@ -44,24 +44,24 @@
            : std::optional(static_cast<std::uint64_t>(FLAGS_if_version));
 }
 
-/** What the change would do to the newest version, for the operator to see.
- * A lost race shows here already. */
+/** Merges the change into the newest version, to show its effect. A conflict
+ * with a newer version is reported here, before the commit. */
 Result<ConfigurationPtr> Preview(const ConfigurationPtr& aBase,
-                                 const ConfigurationPtr& aWanted,
+                                 const ConfigurationPtr& aDesired,
                                  const ConfigurationPtr& aNewest)
 {
   if (!aNewest || !aBase || aBase->mVersion == aNewest->mVersion) {
-    return aWanted;
+    return aDesired;
   }
-  return MergeConfigurations(*aBase, *aWanted, *aNewest);
+  return MergeConfigurations(*aBase, *aDesired, *aNewest);
 }
 
 ExitCode Apply(CommandContext& aContext, const char* aCommand,
-               ConfigurationPtr aBase, ConfigurationPtr aWanted,
+               ConfigurationPtr aBase, ConfigurationPtr aDesired,
                const std::optional<StoredConfiguration>& aNewest)
 {
   auto newest = aNewest ? aNewest->mConfiguration : nullptr;
-  auto preview = Preview(aBase, aWanted, newest);
+  auto preview = Preview(aBase, aDesired, newest);
   if (!preview) {
     Error error = preview.error();
     error.mMessage = "not applied: " + DescribeHead(aNewest->mHead) +
@@ -74,9 +74,9 @@
     std::cout << "Not applied.\n";
     return ExitCode::Declined;
   }
-  return CommitAndTell(
+  return CommitAndReport(
     aContext, aCommand,
-    { std::move(aBase), std::move(aWanted), AuthorOf(), IfVersionFlag() });
+    { std::move(aBase), std::move(aDesired), GetAuthor(), IfVersionFlag() });
 }
 
 /** Applies an edit of the newest version. */
@@ -91,12 +91,12 @@
   if (!newest) {
     return ReportError(aCommand, newest.error());
   }
-  Result<ConfigurationPtr> wanted = aEdit(*newest->mConfiguration);
-  if (!wanted) {
-    return ReportError(aCommand, wanted.error());
+  Result<ConfigurationPtr> desired = aEdit(*newest->mConfiguration);
+  if (!desired) {
+    return ReportError(aCommand, desired.error());
   }
   ConfigurationPtr base = newest->mConfiguration;
-  return Apply(**context, aCommand, base, *wanted, std::move(*newest));
+  return Apply(**context, aCommand, base, *desired, std::move(*newest));
 }
 
 ExitCode ShowPolicy()
@@ -179,9 +179,9 @@
   if (aArgs.size() != 1) {
     return UsageError("apply");
   }
-  auto wanted = ReadConfigurationFile(aArgs[0]);
-  if (!wanted) {
-    return ReportError("apply", wanted.error());
+  auto desired = ReadConfigurationFile(aArgs[0]);
+  if (!desired) {
+    return ReportError("apply", desired.error());
   }
   auto context = CommandContext::Make();
   if (!context) {
@@ -192,11 +192,11 @@
     return ReportError("apply", newest.error());
   }
   auto base = (*context)->Configurations().FindBase(
-    (*wanted)->mVersion, *newest ? (*newest)->mConfiguration : nullptr);
+    (*desired)->mVersion, *newest ? (*newest)->mConfiguration : nullptr);
   if (!base) {
     return ReportError("apply", base.error());
   }
-  return Apply(**context, "apply", *base, *wanted, *newest);
+  return Apply(**context, "apply", *base, *desired, *newest);
 }
 
 ExitCode RunGet(std::span<const std::string> aArgs)
@@ -227,8 +227,8 @@
     if (FLAGS_at_version > 0 &&
         config->mVersion != static_cast<std::uint64_t>(FLAGS_at_version)) {
       return ReportError(
-        "get", { ErrorKind::NotFound, "that version is not kept",
-                 "the newest is " + std::to_string(config->mVersion) });
+        "get", { ErrorKind::NotFound, "that version is no longer stored",
+                 "the newest version is " + std::to_string(config->mVersion) });
     }
   }
   json::value value = ToJson(*config);
--- a/src/cli/ExitCodes.h
+++ b/src/cli/ExitCodes.h
@@ -4,12 +4,12 @@
 
 namespace heatherplank {
 
-/** What the binary's subcommands return to the shell; docs/ADMIN.md lists
- * them. Numbers are never reused. */
+/** Exit codes of the binary's subcommands; docs/ADMIN.md lists them. Numbers
+ * are never reused. */
 enum class ExitCode : int
 {
   Ok = 0,
-  /** A failure that no other code names. */
+  /** A failure that no other code covers. */
   Failure = 1,
   /** The command line or an input file is wrong. */
   Usage = 2,
@@ -19,13 +19,13 @@
   Unavailable = 4,
   /** A write may or may not have taken effect, and reading back failed. */
   Unknown = 5,
-  /** The operator answered no; nothing was changed. */
+  /** The operator declined; nothing was changed. */
   Declined = 6,
   /** `status` found a process that lags behind the accepted version. */
   Lagging = 7,
 };
 
-/** The exit code of an error. Thread safe. */
+/** Returns the exit code of an error. Thread safe. */
 inline ExitCode ToExitCode(const Error& aError)
 {
   switch (aError.mKind) {
--- a/src/cli/Flags.cpp
+++ b/src/cli/Flags.cpp
@@ -5,10 +5,11 @@
 DEFINE_string(platform, "127.0.0.1:8500",
               "IP:port of the platform's object API (apply, get, policy, "
               "drain, status, report)");
-DEFINE_string(author, "",
-              "who makes the change; the user's name if empty (apply, policy, "
-              "drain)");
-DEFINE_bool(yes, false, "do not ask before a change (apply, policy, drain)");
+DEFINE_string(
+  author, "",
+  "author recorded with the change; the user's name if empty (apply, policy, "
+  "drain)");
+DEFINE_bool(yes, false, "do not prompt before a change (apply, policy, drain)");
 DEFINE_bool(json, false,
             "print one JSON object instead of text (check, apply, get, policy, "
             "drain, status, report)");
@@ -18,4 +19,4 @@
 DEFINE_bool(undo, false, "end the drain of the host (drain)");
 DEFINE_int64(at_version, 0,
              "show this older version instead of the newest (get)");
-DEFINE_string(svg, "", "file to draw the report into, too (report)");
+DEFINE_string(svg, "", "also draw the report into this SVG file (report)");
--- a/src/cli/StatusCommands.cpp
+++ b/src/cli/StatusCommands.cpp
@@ -27,13 +27,13 @@
     .count();
 }
 
-struct Read
+struct StatusInput
 {
   StoredConfiguration mNewest;
   StatusObject mStatus;
 };
 
-Result<Read> ReadAll()
+Result<StatusInput> ReadStatusInput()
 {
   auto context = CommandContext::Make();
   if (!context) {
@@ -47,7 +47,7 @@
   if (!status) {
     return tl::unexpected(status.error());
   }
-  return Read{ std::move(*newest), std::move(*status) };
+  return StatusInput{ std::move(*newest), std::move(*status) };
 }
 
 } // namespace
@@ -58,11 +58,12 @@
     std::cerr << "usage: " << CommandUsage("status") << "\n";
     return ExitCode::Usage;
   }
-  auto read = ReadAll();
-  if (!read) {
-    return ReportError("status", read.error());
+  auto input = ReadStatusInput();
+  if (!input) {
+    return ReportError("status", input.error());
   }
-  StatusView view = MakeStatusView(read->mNewest.mHead, read->mStatus, NowMs());
+  StatusView view =
+    MakeStatusView(input->mNewest.mHead, input->mStatus, NowMs());
   std::cout << (FLAGS_json ? json::serialize(ToJson(view)) + "\n"
                            : ToTable(view));
   return view.IsLagging() ? ExitCode::Lagging : ExitCode::Ok;
@@ -74,19 +75,19 @@
     std::cerr << "usage: " << CommandUsage("report") << "\n";
     return ExitCode::Usage;
   }
-  auto read = ReadAll();
-  if (!read) {
-    return ReportError("report", read.error());
+  auto input = ReadStatusInput();
+  if (!input) {
+    return ReportError("report", input.error());
   }
-  const PolicyChoice& policy = read->mNewest.mConfiguration->mPolicy;
+  const PolicyChoice& policy = input->mNewest.mConfiguration->mPolicy;
   std::cout << (FLAGS_json
-                  ? json::serialize(ReportToJson(read->mStatus, policy)) + "\n"
-                  : ReportToTable(read->mStatus, policy));
+                  ? json::serialize(ReportToJson(input->mStatus, policy)) + "\n"
+                  : ReportToTable(input->mStatus, policy));
   if (FLAGS_svg.empty()) {
     return ExitCode::Ok;
   }
   std::ofstream file(FLAGS_svg);
-  file << DrawReport(read->mStatus.mFigures, policy);
+  file << DrawReport(input->mStatus.mFigures, policy);
   if (!file.flush()) {
     return ReportError("report", { ErrorKind::InvalidInput,
                                    FLAGS_svg + ": can't be written",
--- a/tests/AdminApiTest.cpp
+++ b/tests/AdminApiTest.cpp
@@ -60,7 +60,7 @@
   }
 };
 
-TEST(AdminApi, RefusesWithoutTokenOrRoleAndCounts)
+TEST(AdminApi, RejectsAndCountsRequestsWithoutTokenOrRole)
 {
   using enum http::verb;
   Expect(401, "\"token\"", Call(get, "/v1/config", ""));
@@ -75,7 +75,7 @@
   CHECK_TRUE(mStore.mObjects.empty());
 }
 
-TEST(AdminApi, DoesWhatTheCommandsDo)
+TEST(AdminApi, ServesTheOperatorCommands)
 {
   using enum http::verb;
   Expect(404, "no configuration yet", Call(get, "/v1/config", kBen));
@@ -102,7 +102,7 @@
   Expect(404, "docs/ADMIN.md", Call(get, "/v1/nothing", kBen));
 }
 
-TEST(AdminApi, ChecksTheTokenFile)
+TEST(AdminApi, TokenFileErrorsNameEachFault)
 {
   auto faults = AdminTokens::Parse(
     R"({"tokens": [{"name": "a", "role": "root", "token": "short"},
--- a/tests/CallerRequestTest.cpp
+++ b/tests/CallerRequestTest.cpp
@@ -20,7 +20,7 @@
 
 TEST_GROUP(CallerRequest){};
 
-TEST(CallerRequest, ReadsAClaim)
+TEST(CallerRequest, ParsesHeadersAndBody)
 {
   auto request = Parse("POST /claims HTTP/1.1\r\nRequest-Id: r1\r\n"
                        "Idempotency-Key: k1\r\nRequest-Timeout-Ms: 800\r\n"
@@ -33,7 +33,7 @@
   CHECK_TRUE(*request.mTimeout == std::chrono::milliseconds(800));
 }
 
-TEST(CallerRequest, ReadsARange)
+TEST(CallerRequest, ParsesAByteRange)
 {
   auto request = Parse("GET /d HTTP/1.1\r\nRequest-Id: r\r\n"
                        "Range: bytes=1100-2199\r\n\r\n")
@@ -42,7 +42,7 @@
   CHECK_EQUAL(2199, request.mRange->mLast);
 }
 
-TEST(CallerRequest, RefusesWhatIsNotWhole)
+TEST(CallerRequest, RejectsIncompleteAndInvalidRequests)
 {
   const std::string head = "GET / HTTP/1.1\r\nRequest-Id: r\r\n";
   const std::vector<std::string> bad{
@@ -61,9 +61,9 @@
   }
 }
 
-// A caller's bytes are damaged on the way or meant to do harm: each input is a
-// request or a typed error, never a crash.
-TEST(CallerRequest, SurvivesSeededDamage)
+// A datagram is damaged in transit or malicious: parsing returns a request or a
+// typed error and never crashes.
+TEST(CallerRequest, ParsesDamagedDatagramsWithoutCrashing)
 {
   std::mt19937_64 rng(7);
   const std::string whole =
--- a/tests/CommandsTest.cpp
+++ b/tests/CommandsTest.cpp
@@ -25,7 +25,7 @@
   return std::string(HEATHERPLANK_SOURCE_DIR) + "/examples/" + aName;
 }
 
-/** A file in the working directory that goes away with the test. */
+/** A file in the working directory, removed by the destructor. */
 struct TemporaryFile
 {
   explicit TemporaryFile(const std::string& aText)
@@ -52,7 +52,7 @@
     FLAGS_yes = true;
   }
 
-  /** Runs a command; what it wrote is in mOut and mErr. */
+  /** Runs a command and captures its output in mOut and mErr. */
   ExitCode Call(Run aRun, const std::vector<std::string>& aArgs)
   {
     mOut.str("");
@@ -73,7 +73,7 @@
   }
 };
 
-TEST(Commands, AnOperatorsWalkFromNothing)
+TEST(Commands, CommandsManageAConfigurationFromItsFirstVersion)
 {
   Expect(ExitCode::Usage, "holds no configuration yet", RunGet, {});
   Expect(ExitCode::Ok, "2 services, no fault", RunCheck,
@@ -98,9 +98,9 @@
   Expect(ExitCode::Ok, "lower is better", RunReport, {});
 }
 
-// An operator edits what `get` gave, while another one changes the policy. The
-// edit goes in on top; an edit of the policy itself meets a clear conflict.
-TEST(Commands, AnEditOfAnOlderVersionIsMergedOrRefused)
+// An operator edits the output of `get` while another one changes the policy.
+// The edit is merged; an edit of the policy itself is reported as a conflict.
+TEST(Commands, EditOfAnOlderVersionIsMergedOrReportsAConflict)
 {
   Call(RunApply, { Sample("lakeside.json") });
   Call(RunGet, {});
@@ -115,14 +115,14 @@
     TemporaryFile file(edit("\"queue_limit\": 512", "\"queue_limit\": 99"));
     Expect(ExitCode::Ok, "~ rule documents of service doc-archive", RunApply,
            { file.mPath });
-    STRCMP_CONTAINS("redone on top of a newer version", mOut.str().c_str());
+    STRCMP_CONTAINS("rebased onto a newer version", mOut.str().c_str());
   }
   TemporaryFile file(edit("two-choices", "rendezvous"));
   Expect(ExitCode::Conflict, "written by ben", RunApply, { file.mPath });
   STRCMP_CONTAINS("both changed the policy", mErr.str().c_str());
 }
 
-TEST(Commands, SaysWhatIsWrongAndLeavesWithItsOwnCode)
+TEST(Commands, ErrorsNameTheCauseAndReturnTheirExitCode)
 {
   Expect(ExitCode::Usage, "usage: heatherplank apply FILE", RunApply, {});
   Expect(ExitCode::Usage, "/nowhere.json: can't be read", RunApply,
@@ -148,7 +148,7 @@
   Expect(ExitCode::Conflict, "--if-version 1", RunPolicy, { "set", "random" });
 }
 
-TEST(Commands, StatusAndReportReadWhatProcessesWrote)
+TEST(Commands, StatusAndReportShowDataWrittenByProcesses)
 {
   Call(RunApply, { Sample("lakeside.json") });
   StatusObject status;
@@ -169,7 +169,7 @@
   Expect(ExitCode::Ok, "\"flows_broken\":1", RunReport, {});
 }
 
-TEST(Commands, StatusNamesWhatLagsAndHowLong)
+TEST(Commands, StatusShowsLaggingProcessesAndTheirLag)
 {
   ConfigurationHead head;
   head.mVersion = 4;
