--- a/lab/soak/FlowCallers.cpp
+++ b/lab/soak/FlowCallers.cpp
@@ -10,23 +10,23 @@
 
 using std::chrono::milliseconds;
 
-constexpr milliseconds kCopiesAfter[] = { milliseconds(200),
-                                          milliseconds(600) };
-constexpr auto kGivesUpOpeningAfter = milliseconds(1400);
-constexpr auto kFirstRepeat = milliseconds(200);
-constexpr Duration kLongestRepeat = milliseconds(1600);
-constexpr int kTries = 5;
+constexpr milliseconds kOpeningCopyDelays[] = { milliseconds(200),
+                                                milliseconds(600) };
+constexpr auto kOpeningTimeout = milliseconds(1400);
+constexpr auto kFirstRetryDelay = milliseconds(200);
+constexpr Duration kMaxRetryDelay = milliseconds(1600);
+constexpr int kMaxTries = 5;
 constexpr std::uint32_t kFirstSequence = 1;
 constexpr std::uint8_t kRequestBytes = 5;
 
 } // namespace
 
 FlowCallers::FlowCallers(const boost::asio::any_io_executor& aExecutor,
-                         const Address& aAddress, ToFabric aToFabric,
+                         const Address& aAddress, FabricSender aSendToFabric,
                          OnReset aOnReset)
   : mExecutor(aExecutor)
   , mAddress(aAddress)
-  , mToFabric(std::move(aToFabric))
+  , mSendToFabric(std::move(aSendToFabric))
   , mOnReset(std::move(aOnReset))
 {
 }
@@ -46,32 +46,32 @@
   }
   mSocket = *socket;
   mSocket->Start(
-    [this](ByteView aDatagram, const Address&) { Take(aDatagram); });
+    [this](ByteView aDatagram, const Address&) { HandleDatagram(aDatagram); });
   return {};
 }
 
-void FlowCallers::Later(Duration aAfter, std::function<void()> aWhat)
+void FlowCallers::RunAfter(Duration aDelay, std::function<void()> aTask)
 {
-  auto timer = std::make_shared<boost::asio::steady_timer>(mExecutor, aAfter);
+  auto timer = std::make_shared<boost::asio::steady_timer>(mExecutor, aDelay);
   timer->async_wait(
-    [timer, what = std::move(aWhat)](boost::system::error_code aEc) {
+    [timer, task = std::move(aTask)](boost::system::error_code aEc) {
       if (!aEc) {
-        what();
+        task();
       }
     });
 }
 
-FlowKey FlowCallers::Begin(const Address& aService)
+FlowKey FlowCallers::OpenFlow(const Address& aService)
 {
   FlowKey flow{ mAddress, aService };
   flow.mCaller.mPort = mNextPort++;
   Call& call = mCalls[flow];
   call.mFlow = flow;
-  call.mBegan = std::chrono::steady_clock::now();
+  call.mStartTime = std::chrono::steady_clock::now();
   SendOpening(flow, 0);
   int copy = 1;
-  for (auto after : kCopiesAfter) {
-    Later(after, [this, flow, copy] {
+  for (auto delay : kOpeningCopyDelays) {
+    RunAfter(delay, [this, flow, copy] {
       const Call& it = mCalls[flow];
       if (!it.mAccepted && !it.mEnded) {
         SendOpening(flow, copy);
@@ -79,7 +79,7 @@
     });
     ++copy;
   }
-  Later(kGivesUpOpeningAfter, [this, flow] {
+  RunAfter(kOpeningTimeout, [this, flow] {
     Call& it = mCalls[flow];
     it.mEnded = it.mEnded || !it.mAccepted;
   });
@@ -88,32 +88,33 @@
 
 void FlowCallers::SendOpening(const FlowKey& aFlow, int aCopy)
 {
-  mToFabric(aFlow,
-            MakePacket(aFlow.mCaller, aFlow.mService, kSyn, kFirstSequence - 1,
-                       static_cast<std::uint32_t>(aCopy), 0));
+  mSendToFabric(aFlow, MakePacket(aFlow.mCaller, aFlow.mService, kSyn,
+                                  kFirstSequence - 1,
+                                  static_cast<std::uint32_t>(aCopy), 0));
 }
 
-void FlowCallers::SendRequest(const FlowKey& aFlow, int aTries,
-                              Duration aAgainAfter)
+void FlowCallers::SendRequestWithRetries(const FlowKey& aFlow, int aTriesLeft,
+                                         Duration aRetryDelay)
 {
   const Call& call = mCalls[aFlow];
-  if (call.mAnswered || call.mEnded || aTries == 0) {
+  if (call.mAnswered || call.mEnded || aTriesLeft == 0) {
     return;
   }
-  Ask(aFlow);
-  Later(aAgainAfter, [this, aFlow, aTries, aAgainAfter] {
-    SendRequest(aFlow, aTries - 1, std::min(2 * aAgainAfter, kLongestRepeat));
+  SendRequest(aFlow);
+  RunAfter(aRetryDelay, [this, aFlow, aTriesLeft, aRetryDelay] {
+    SendRequestWithRetries(aFlow, aTriesLeft - 1,
+                           std::min(2 * aRetryDelay, kMaxRetryDelay));
   });
 }
 
-void FlowCallers::Ask(const FlowKey& aFlow)
+void FlowCallers::SendRequest(const FlowKey& aFlow)
 {
-  mToFabric(aFlow,
-            MakePacket(aFlow.mCaller, aFlow.mService, kAck, kFirstSequence,
-                       mCalls[aFlow].mHostSequence + 1, kRequestBytes));
+  mSendToFabric(aFlow,
+                MakePacket(aFlow.mCaller, aFlow.mService, kAck, kFirstSequence,
+                           mCalls[aFlow].mHostSequence + 1, kRequestBytes));
 }
 
-void FlowCallers::Take(ByteView aDatagram)
+void FlowCallers::HandleDatagram(ByteView aDatagram)
 {
   auto packet = PlatformPackets().Parse(aDatagram);
   auto it = packet ? mCalls.find(packet->FlowFromHost()) : mCalls.end();
@@ -128,7 +129,7 @@
   } else if (packet->mSyn && !call.mAccepted) {
     call.mAccepted = true;
     call.mHostSequence = packet->mSequence;
-    SendRequest(call.mFlow, kTries, kFirstRepeat);
+    SendRequestWithRetries(call.mFlow, kMaxTries, kFirstRetryDelay);
   } else if (packet->mDataLength > 0 && !call.mAnswered) {
     call.mAnswered = true;
     ++mAnswered;
--- a/lab/soak/FlowCallers.h
+++ b/lab/soak/FlowCallers.h
@@ -16,9 +16,10 @@
 
 namespace heatherplank::lab {
 
-/** Callers that open a flow each and send one request, as the platform's
- * contract has it: copies of the opening packet, repeats of the request. Runs
- * on one thread, that of its executor.
+/** Simulated callers. Each opens a flow and sends one request as the platform's
+ * contract prescribes: the opening packet is sent in up to three copies, and an
+ * unanswered request is retried. Single-threaded: used only on its executor's
+ * thread.
  */
 class FlowCallers
 {
@@ -30,38 +31,41 @@
     bool mAnswered = false;
     bool mEnded = false;
     std::uint32_t mHostSequence = 0;
-    Time mBegan{};
+    Time mStartTime{};
   };
   /** Sends a caller's packet into the fabric. */
-  using ToFabric = std::function<void(const FlowKey&, const Bytes&)>;
-  /** Called as a reset arrives at a call that has not ended. */
+  using FabricSender = std::function<void(const FlowKey&, const Bytes&)>;
+  /** Called when a reset arrives for a call that has not ended. */
   using OnReset = std::function<void(const Call&)>;
 
   FlowCallers(const boost::asio::any_io_executor& aExecutor,
-              const Address& aAddress, ToFabric aToFabric, OnReset aOnReset);
+              const Address& aAddress, FabricSender aSendToFabric,
+              OnReset aOnReset);
   ~FlowCallers();
 
   Result<void> Listen();
 
-  /** Opens a flow to an address from a new port; gives its key. */
-  FlowKey Begin(const Address& aService);
+  /** Opens a flow to a service address from a new caller port. Returns its key.
+   */
+  FlowKey OpenFlow(const Address& aService);
 
-  /** Sends one more request on a flow that was accepted. */
-  void Ask(const FlowKey& aFlow);
+  /** Sends a single request packet on an accepted flow, without retries. */
+  void SendRequest(const FlowKey& aFlow);
 
   const std::map<FlowKey, Call>& Calls() const { return mCalls; }
   std::uint64_t Answered() const { return mAnswered; }
   std::uint64_t Refused() const { return mRefused; }
 
 private:
-  void Take(ByteView aDatagram);
+  void HandleDatagram(ByteView aDatagram);
   void SendOpening(const FlowKey& aFlow, int aCopy);
-  void SendRequest(const FlowKey& aFlow, int aTries, Duration aAgainAfter);
-  void Later(Duration aAfter, std::function<void()> aWhat);
+  void SendRequestWithRetries(const FlowKey& aFlow, int aTriesLeft,
+                              Duration aRetryDelay);
+  void RunAfter(Duration aDelay, std::function<void()> aTask);
 
   boost::asio::any_io_executor mExecutor;
   const Address mAddress;
-  ToFabric mToFabric;
+  FabricSender mSendToFabric;
   OnReset mOnReset;
   std::shared_ptr<DatagramSocket> mSocket;
   std::map<FlowKey, Call> mCalls;
--- a/lab/soak/FlowHost.cpp
+++ b/lab/soak/FlowHost.cpp
@@ -11,10 +11,11 @@
 namespace {
 
 constexpr auto kCallTimeout = std::chrono::milliseconds(1000);
-constexpr int kLeastWorkMs = 5;
-constexpr int kMostWorkMs = 25;
-/** Acknowledgements above a flow's sequence that are taken for its own. */
-constexpr std::uint32_t kWindow = 76800;
+constexpr int kMinWorkMs = 5;
+constexpr int kMaxWorkMs = 25;
+/** A packet belongs to a flow if its acknowledgement is at most this far above
+ * the flow's sequence number. */
+constexpr std::uint32_t kAcknowledgementWindow = 76800;
 
 } // namespace
 
@@ -24,8 +25,8 @@
   : mSettings(aSettings)
   , mExecutor(aExecutor)
   , mOnPacket(std::move(aOnPacket))
-  , mClient(HttpClient::Make(aExecutor, aSettings.mCalls, 1))
-  , mBeatTimer(aExecutor)
+  , mClient(HttpClient::Make(aExecutor, aSettings.mAgentApi, 1))
+  , mHeartbeatTimer(aExecutor)
   , mRandom(aSeed)
 {
 }
@@ -46,7 +47,7 @@
   mSocket = *socket;
   mSocket->Start([this](ByteView aDatagram, const Address&) {
     if (mAlive) {
-      Take(aDatagram);
+      HandleDatagram(aDatagram);
     }
   });
   return {};
@@ -56,17 +57,17 @@
 {
   mFlows.clear();
   mAlive = true;
-  ++mLife;
-  mBeats = 0;
+  ++mIncarnation;
+  mHeartbeats = 0;
   mPhase = HostPhase::Ready;
-  mLeftAt.reset();
+  mDrainAcknowledgedAt.reset();
   Announce();
 }
 
 void FlowHost::Crash()
 {
   mAlive = false;
-  mBeatTimer.cancel();
+  mHeartbeatTimer.cancel();
 }
 
 void FlowHost::Drain()
@@ -77,13 +78,13 @@
   }
 }
 
-int FlowHost::HoldsOpen(const FlowKey& aFlow) const
+int FlowHost::OpenFlowIncarnation(const FlowKey& aFlow) const
 {
   auto it = mFlows.find(aFlow);
-  return mAlive && it != mFlows.end() && it->second.mOpen ? mLife : 0;
+  return mAlive && it != mFlows.end() && it->second.mOpen ? mIncarnation : 0;
 }
 
-void FlowHost::Take(ByteView aDatagram)
+void FlowHost::HandleDatagram(ByteView aDatagram)
 {
   auto packet = PlatformPackets().Parse(aDatagram);
   if (!packet) {
@@ -102,28 +103,29 @@
     return;
   }
   auto it = mFlows.find(key);
-  bool holds = it != mFlows.end() &&
-               packet->mAcknowledged - it->second.mSequence <= kWindow;
-  if (!holds) {
+  bool matches =
+    it != mFlows.end() &&
+    packet->mAcknowledged - it->second.mSequence <= kAcknowledgementWindow;
+  if (!matches) {
     mSocket->Send(MakeBounced({ aDatagram.begin(), aDatagram.end() }),
                   mSettings.mOutbox);
     return;
   }
   it->second.mOpen = true;
-  mHeard.insert(key);
+  mReceived.insert(key);
   if (packet->mDataLength > 0) {
-    Answer(key, it->second.mSequence);
+    SendResponse(key, it->second.mSequence);
   }
 }
 
-void FlowHost::Answer(const FlowKey& aFlow, std::uint32_t aSequence)
+void FlowHost::SendResponse(const FlowKey& aFlow, std::uint32_t aSequence)
 {
   auto work = std::chrono::milliseconds(
-    kLeastWorkMs + static_cast<int>(mRandom() % (kMostWorkMs - kLeastWorkMs)));
+    kMinWorkMs + static_cast<int>(mRandom() % (kMaxWorkMs - kMinWorkMs)));
   auto timer = std::make_shared<boost::asio::steady_timer>(mExecutor, work);
-  timer->async_wait([this, timer, aFlow, aSequence,
-                     life = mLife](boost::system::error_code aEc) {
-    if (!aEc && mAlive && mLife == life) {
+  timer->async_wait([this, timer, aFlow, aSequence, incarnation = mIncarnation](
+                      boost::system::error_code aEc) {
+    if (!aEc && mAlive && mIncarnation == incarnation) {
       mSocket->Send(
         MakePacket(aFlow.mService, aFlow.mCaller, kAck, aSequence + 1, 6, 10),
         mSettings.mOutbox);
@@ -141,30 +143,31 @@
     { "Slots", 2 },
     { "State", mPhase == HostPhase::Draining ? "draining" : "ready" },
     { "ColdLeftMs", 0 },
-    { "Seq", ++mBeats },
-    // A moment for each life; only their order matters.
-    { "born", 1700000000000 + mLife },
+    { "Seq", ++mHeartbeats },
+    // A distinct start time (ms) for each incarnation; only the order matters.
+    { "born", 1700000000000 + mIncarnation },
   };
   HttpRequest request(http::verb::put, "/api/instances/" + mSettings.mName, 11);
   request.set(http::field::host, "agent");
   request.body() = json::serialize(body);
   request.prepare_payload();
-  bool leaves = mPhase == HostPhase::Draining;
-  mClient->Send(std::move(request), kCallTimeout,
-                [this, leaves, life = mLife](Result<HttpResponse> aAnswer) {
-                  bool acknowledged =
-                    aAnswer && aAnswer->result() == http::status::ok;
-                  if (acknowledged && leaves && life == mLife && !mLeftAt) {
-                    mLeftAt = std::chrono::steady_clock::now();
-                  }
-                });
-  AnnounceLater();
+  bool draining = mPhase == HostPhase::Draining;
+  mClient->Send(
+    std::move(request), kCallTimeout,
+    [this, draining, incarnation = mIncarnation](Result<HttpResponse> aAnswer) {
+      bool acknowledged = aAnswer && aAnswer->result() == http::status::ok;
+      if (acknowledged && draining && incarnation == mIncarnation &&
+          !mDrainAcknowledgedAt) {
+        mDrainAcknowledgedAt = std::chrono::steady_clock::now();
+      }
+    });
+  ScheduleAnnouncement();
 }
 
-void FlowHost::AnnounceLater()
+void FlowHost::ScheduleAnnouncement()
 {
-  mBeatTimer.expires_after(mSettings.mBeatEvery);
-  mBeatTimer.async_wait([this](boost::system::error_code aEc) {
+  mHeartbeatTimer.expires_after(mSettings.mHeartbeatInterval);
+  mHeartbeatTimer.async_wait([this](boost::system::error_code aEc) {
     if (!aEc && mAlive) {
       Announce();
     }
--- a/lab/soak/FlowHost.h
+++ b/lab/soak/FlowHost.h
@@ -20,10 +20,10 @@
 
 namespace heatherplank::lab {
 
-/** A host as the platform's contract has it, in the lab's own process: opens a
- * flow for each opening packet, answers each request after some work, returns
- * what it does not hold, announces itself to its agent. Runs on one thread,
- * that of its executor.
+/** A simulated host in the lab's process that follows the platform's contract:
+ * it accepts a flow for each opening packet, answers each request after a
+ * random delay, returns packets of flows that it does not hold, and announces
+ * itself to its agent. Single-threaded: used only on its executor's thread.
  */
 class FlowHost
 {
@@ -32,13 +32,15 @@
   {
     std::string mName;
     std::string mService;
-    /** Where it takes packets, and where it sends them and its calls to. */
+    /** Where the host receives packets. */
     Address mInbox;
+    /** Where it sends packets to: the agent's socket. */
     Address mOutbox;
-    Address mCalls;
-    Duration mBeatEvery = std::chrono::milliseconds(400);
+    /** Where it sends its announcements to: the agent's HTTP server. */
+    Address mAgentApi;
+    Duration mHeartbeatInterval = std::chrono::milliseconds(400);
   };
-  /** Called for each packet that reaches it, before it acts on it. */
+  /** Called for each packet that the host receives, before it handles it. */
   using OnPacket = std::function<void(ByteView)>;
 
   FlowHost(const boost::asio::any_io_executor& aExecutor,
@@ -47,26 +49,34 @@
 
   Result<void> Listen();
 
-  /** Begins a life: holds nothing from before. */
+  /** Starts a new incarnation, without the flows of the previous one. */
   void Start();
-  /** Ends at once, without a word. */
+  /** Ends at once, without notifying the agent. */
   void Crash();
-  /** Says that it leaves; keeps its flows. */
+  /** Announces that it drains. Its open flows stay. */
   void Drain();
 
   bool IsAlive() const { return mAlive; }
-  /** Counts its lives. */
-  int Life() const { return mLife; }
-  /** When its agent acknowledged that it leaves. */
-  std::optional<Time> LeftAt() const { return mLeftAt; }
+  /** Number of the current incarnation, from 1; 0 before the first Start. */
+  int Incarnation() const { return mIncarnation; }
+  /** When the agent first acknowledged that this host drains. */
+  std::optional<Time> DrainAcknowledgedAt() const
+  {
+    return mDrainAcknowledgedAt;
+  }
   const std::string& Service() const { return mSettings.mService; }
 
-  /** The life that holds a flow openly, or 0. */
-  int HoldsOpen(const FlowKey& aFlow) const;
-  bool Knows(const FlowKey& aFlow) const { return mFlows.contains(aFlow); }
-  /** Whether a packet of a flow that it holds came since ForgetHeard. */
-  bool Heard(const FlowKey& aFlow) const { return mHeard.contains(aFlow); }
-  void ForgetHeard() { mHeard.clear(); }
+  /** The incarnation that holds the flow open, or 0 if the host is down or the
+   * flow is not open. */
+  int OpenFlowIncarnation(const FlowKey& aFlow) const;
+  bool HasFlow(const FlowKey& aFlow) const { return mFlows.contains(aFlow); }
+  /** Whether a packet of a flow that the host holds, other than an opening
+   * packet, arrived since the last ClearReceived. */
+  bool ReceivedPacketOf(const FlowKey& aFlow) const
+  {
+    return mReceived.contains(aFlow);
+  }
+  void ClearReceived() { mReceived.clear(); }
 
 private:
   struct Flow
@@ -75,25 +85,25 @@
     bool mOpen = false;
   };
 
-  void Take(ByteView aDatagram);
-  void Answer(const FlowKey& aFlow, std::uint32_t aSequence);
+  void HandleDatagram(ByteView aDatagram);
+  void SendResponse(const FlowKey& aFlow, std::uint32_t aSequence);
   void Announce();
-  void AnnounceLater();
+  void ScheduleAnnouncement();
 
   const Settings mSettings;
   boost::asio::any_io_executor mExecutor;
   OnPacket mOnPacket;
   std::shared_ptr<DatagramSocket> mSocket;
   std::shared_ptr<HttpClient> mClient;
-  boost::asio::steady_timer mBeatTimer;
+  boost::asio::steady_timer mHeartbeatTimer;
   std::mt19937_64 mRandom;
   std::map<FlowKey, Flow> mFlows;
-  std::set<FlowKey> mHeard;
+  std::set<FlowKey> mReceived;
   bool mAlive = false;
-  int mLife = 0;
-  std::uint64_t mBeats = 0;
+  int mIncarnation = 0;
+  std::uint64_t mHeartbeats = 0;
   HostPhase mPhase = HostPhase::Ready;
-  std::optional<Time> mLeftAt;
+  std::optional<Time> mDrainAcknowledgedAt;
 };
 
 } // namespace heatherplank::lab
--- a/lab/soak/FlowSoak.cpp
+++ b/lab/soak/FlowSoak.cpp
@@ -8,11 +8,11 @@
 
 bool RunSoak(const SoakOptions& aOptions)
 {
-  bool held = Soak(aOptions).Run();
-  if (held) {
+  bool passed = Soak(aOptions).Run();
+  if (passed) {
     std::filesystem::remove_all(aOptions.mFolder);
   }
-  return held;
+  return passed;
 }
 
 } // namespace heatherplank::lab
--- a/lab/soak/FlowSoak.h
+++ b/lab/soak/FlowSoak.h
@@ -5,25 +5,26 @@
 
 namespace heatherplank::lab {
 
-/** One run of the soak. */
+/** Options of one soak run. */
 struct SoakOptions
 {
   std::string mBin;
   std::uint64_t mSeed = 1;
   int mBalancers = 3;
   int mHosts = 6;
-  /** How long faults go on, s. */
+  /** Duration of the fault phase, s. */
   int mSeconds = 6;
-  /** Harms clocks, links between our processes and the fabric too. Without it a
-   * seed plays as it did before these were added, which kept seeds rely on. */
+  /** Adds faults of clocks, of links between balancers and agents, and of the
+   * fabric. Off by default: the seeds recorded before these faults existed must
+   * still produce the same runs. */
   bool mWide = false;
-  /** Where logs go; kept if the run fails. */
+  /** Folder for logs and settings files; removed unless the run fails. */
   std::string mFolder;
 };
 
-/** Plays seeded faults against real balancers and agents as separate processes
- * and checks what callers and hosts see. Prints one JSON line. Gives true if
- * every promise held. */
+/** Injects faults chosen by the seed into real balancer and agent processes and
+ * checks what callers and hosts observe. Prints one JSON line. Returns true if
+ * no check was violated. */
 bool RunSoak(const SoakOptions& aOptions);
 
 } // namespace heatherplank::lab
--- a/lab/soak/PacketMaker.h
+++ b/lab/soak/PacketMaker.h
@@ -6,13 +6,13 @@
 
 namespace heatherplank::lab {
 
-/** Flags of a packet, as the platform's contract has them. */
+/** Packet flags of the platform's contract. */
 constexpr std::uint8_t kSyn = 64;
 constexpr std::uint8_t kAck = 4;
 constexpr std::uint8_t kFin = 16;
 constexpr std::uint8_t kBounced = 32;
 
-/** A packet as one end of a flow writes it, with aData bytes of no meaning.
+/** Makes a packet as an endpoint of a flow sends it, with aData filler bytes.
  * Thread safe. */
 inline Bytes MakePacket(const Address& aFrom, const Address& aTo,
                         std::uint8_t aFlags, std::uint32_t aSequence,
@@ -28,7 +28,7 @@
   return out;
 }
 
-/** A packet as a host returns it. */
+/** Turns a packet into the form in which a host returns it. */
 inline Bytes MakeBounced(Bytes aPacket)
 {
   aPacket[20] |= kBounced;
--- a/lab/soak/SoakChecks.cpp
+++ b/lab/soak/SoakChecks.cpp
@@ -1,4 +1,4 @@
-// What must hold, as callers and hosts see it.
+// Checks of what callers and hosts observe.
 #include <cstdio>
 
 #include <boost/json.hpp>
@@ -8,139 +8,143 @@
 
 namespace heatherplank::lab {
 
-void Soak::Violated(const std::string& aWhat)
+void Soak::RecordViolation(const std::string& aMessage)
 {
   if (mViolations.size() < 20) {
-    mViolations.push_back(aWhat);
+    mViolations.push_back(aMessage);
   }
 }
 
 void Soak::OnReset(const FlowCallers::Call& aCall)
 {
   for (const auto& it : mAgents) {
-    if (aCall.mAccepted && it->mHost->HoldsOpen(aCall.mFlow) != 0) {
-      Violated("reset of a flow that its host holds: " +
-               aCall.mFlow.ToString());
+    if (aCall.mAccepted && it->mHost->OpenFlowIncarnation(aCall.mFlow) != 0) {
+      RecordViolation("reset of a flow that its host holds: " +
+                      aCall.mFlow.ToString());
     }
   }
 }
 
-void Soak::OnHostGets(Agent& aAgent, ByteView aPacket)
+void Soak::OnHostPacket(Agent& aAgent, ByteView aPacket)
 {
   Bytes plain(aPacket.begin(), aPacket.end());
   PlatformPackets().Tag(plain, 0);
-  if (!mSent.contains(plain)) {
-    Violated("a host got a packet that no caller wrote");
+  if (!mSentPackets.contains(plain)) {
+    RecordViolation("a host received a packet that no caller sent");
     return;
   }
   auto packet = PlatformPackets().Parse(aPacket);
   FlowKey flow = packet->FlowFromCaller();
-  if (!packet->mSyn || aAgent.mHost->Knows(flow)) {
+  if (!packet->mSyn || aAgent.mHost->HasFlow(flow)) {
     return;
   }
-  const char* wanted = flow.mService == RouteOf(2) ? "two" : "one";
-  if (aAgent.mHost->Service() != wanted) {
-    Violated("a host of another service got " + flow.ToString());
+  const char* service = flow.mService == RouteAddress(2) ? "two" : "one";
+  if (aAgent.mHost->Service() != service) {
+    RecordViolation("a host of another service received " + flow.ToString());
   }
-  auto left = aAgent.mHost->LeftAt();
-  if (left && std::chrono::steady_clock::now() > *left + kLeaveSlack) {
-    Violated("a leaving host got " + flow.ToString());
+  auto acknowledged = aAgent.mHost->DrainAcknowledgedAt();
+  if (acknowledged &&
+      std::chrono::steady_clock::now() > *acknowledged + kDrainSlack) {
+    RecordViolation("a draining host received the new flow " + flow.ToString());
   }
 }
 
-void Soak::CheckFlowsAreFound()
+void Soak::CheckOpenFlowsAreReachable()
 {
-  std::map<FlowKey, int> asked;
+  std::map<FlowKey, int> sampled;
   for (const auto& [flow, call] : mCallers.Calls()) {
     for (const auto& it : mAgents) {
-      if (!call.mEnded && it->mHost->HoldsOpen(flow) != 0 &&
+      if (!call.mEnded && it->mHost->OpenFlowIncarnation(flow) != 0 &&
           mRandom() % 8 == 0) {
-        asked[flow] = 0;
+        sampled[flow] = 0;
       }
     }
   }
   for (const auto& it : mAgents) {
-    it->mHost->ForgetHeard();
+    it->mHost->ClearReceived();
   }
-  for (const auto& [flow, n] : asked) {
-    mCallers.Ask(flow);
+  for (const auto& [flow, n] : sampled) {
+    mCallers.SendRequest(flow);
   }
   mContext.run_for(milliseconds(700));
-  // Datagrams may be lost on a busy machine; twice the same one is a finding.
-  for (const auto& [flow, n] : asked) {
-    mCallers.Ask(flow);
+  // A busy machine may drop a datagram, so a flow counts as missing only if two
+  // requests are lost.
+  for (const auto& [flow, n] : sampled) {
+    mCallers.SendRequest(flow);
   }
   mContext.run_for(milliseconds(700));
   std::size_t missing = 0;
-  for (const auto& [flow, n] : asked) {
-    bool held = false;
+  for (const auto& [flow, n] : sampled) {
+    bool isOpen = false;
     bool reached = false;
     for (const auto& it : mAgents) {
-      held = held || it->mHost->HoldsOpen(flow) != 0;
-      reached = reached || it->mHost->Heard(flow);
+      isOpen = isOpen || it->mHost->OpenFlowIncarnation(flow) != 0;
+      reached = reached || it->mHost->ReceivedPacketOf(flow);
     }
-    missing += held && !reached ? 1 : 0;
+    missing += isOpen && !reached ? 1 : 0;
   }
-  mFlowsAsked = asked.size();
+  mFlowsSampled = sampled.size();
   if (missing > 0) {
-    Violated(std::to_string(missing) + " of " + std::to_string(asked.size()) +
-             " open flows were not found");
+    RecordViolation(std::to_string(missing) + " of " +
+                    std::to_string(sampled.size()) +
+                    " open flows did not reach their host");
   }
 }
 
-void Soak::CheckRoutesChange()
+void Soak::CheckRouteChanges()
 {
   WriteRoutes({ { 1, "one" }, { 2, "two" }, { 3, "one" } });
-  mContext.run_for(kRoutesWithin);
-  // One after the other: a burst of them would be refused for load, as seed 36
-  // showed, which says nothing of routes.
-  std::vector<FlowKey> fresh;
-  std::vector<FlowKey> unknown;
+  mContext.run_for(kRoutesTimeout);
+  // Flows are opened one at a time: a burst would be refused for load, as with
+  // seed 36, which is no failure of the routes.
+  std::vector<FlowKey> routed;
+  std::vector<FlowKey> unrouted;
   for (int i = 0; i < 10; ++i) {
-    fresh.push_back(mCallers.Begin(RouteOf(3)));
-    unknown.push_back(mCallers.Begin(RouteOf(4)));
+    routed.push_back(mCallers.OpenFlow(RouteAddress(3)));
+    unrouted.push_back(mCallers.OpenFlow(RouteAddress(4)));
     mContext.run_for(milliseconds(60));
   }
   mContext.run_for(milliseconds(800));
-  for (const FlowKey& it : fresh) {
+  for (const FlowKey& it : routed) {
     if (mCallers.Calls().at(it).mAccepted) {
       continue;
     }
-    FlowKey again = mCallers.Begin(RouteOf(3));
+    FlowKey retry = mCallers.OpenFlow(RouteAddress(3));
     mContext.run_for(milliseconds(800));
-    if (!mCallers.Calls().at(again).mAccepted) {
-      Violated("a new route was not in force: " + again.ToString());
+    if (!mCallers.Calls().at(retry).mAccepted) {
+      RecordViolation("a new route is not in force: " + retry.ToString());
     }
   }
-  for (const FlowKey& it : unknown) {
+  for (const FlowKey& it : unrouted) {
     if (mCallers.Calls().at(it).mAccepted) {
-      Violated("a flow of no route was opened: " + it.ToString());
+      RecordViolation("a flow without a route was accepted: " + it.ToString());
     }
   }
 }
 
-void Soak::CheckServed()
+void Soak::CheckCallsAnswered()
 {
   auto now = std::chrono::steady_clock::now();
-  int asked = 0;
+  int calls = 0;
   int answered = 0;
   for (const auto& [flow, call] : mCallers.Calls()) {
-    auto age = now - call.mBegan;
-    if (age > seconds(2) && age < seconds(6) && flow.mService != RouteOf(4)) {
-      ++asked;
+    auto age = now - call.mStartTime;
+    if (age > seconds(2) && age < seconds(6) &&
+        flow.mService != RouteAddress(4)) {
+      ++calls;
       answered += call.mAnswered ? 1 : 0;
     }
   }
-  if (answered * 100 < asked * 98) {
-    Violated("in calm " + std::to_string(answered) + " of " +
-             std::to_string(asked) + " calls were answered");
+  if (answered * 100 < calls * 98) {
+    RecordViolation("after the faults ended " + std::to_string(answered) +
+                    " of " + std::to_string(calls) + " calls were answered");
   }
 }
 
 void Soak::Print() const
 {
   json::array faults;
-  for (const auto& it : mPlayed) {
+  for (const auto& it : mPlannedFaults) {
     faults.push_back(json::value(it));
   }
   json::array violations;
@@ -152,7 +156,7 @@
                      { "calls", mCallers.Calls().size() },
                      { "answered", mCallers.Answered() },
                      { "refused", mCallers.Refused() },
-                     { "flows_asked_for", mFlowsAsked },
+                     { "flows_asked_for", mFlowsSampled },
                      { "store_calls", mStore.Calls() },
                      { "faults", std::move(faults) },
                      { "violations", std::move(violations) } };
--- a/lab/soak/SoakFaults.cpp
+++ b/lab/soak/SoakFaults.cpp
@@ -1,4 +1,4 @@
-// Faults, in series that overlap, and their end.
+// The faults, which may overlap, and how they end.
 #include <csignal>
 
 #include <boost/json.hpp>
@@ -19,22 +19,22 @@
     { "agent_freeze", &Soak::FreezeAgent },
     { "host_crash", &Soak::CrashHost },
     { "host_drain", &Soak::DrainHost },
-    { "store_away", &Soak::StoreAway },
-    { "store_link", &Soak::HarmStoreLink },
+    { "store_away", &Soak::FailStore },
+    { "store_link", &Soak::ImpairStoreLink },
     { "reload", &Soak::Reload },
     { "link_cut", &Soak::CutLinks },
-    { "wrong_clock", &Soak::WrongClock },
-    { "rough_fabric", &Soak::RoughFabric },
+    { "wrong_clock", &Soak::SetWrongClock },
+    { "rough_fabric", &Soak::ImpairFabric },
   };
-  constexpr std::size_t kWideOnly = 3;
-  std::size_t kinds = std::size(kFaults) - (mOptions.mWide ? 0 : kWideOnly);
+  constexpr std::size_t kWideFaults = 3;
+  std::size_t kinds = std::size(kFaults) - (mOptions.mWide ? 0 : kWideFaults);
   auto n = 3 + static_cast<int>(mRandom() % 6);
   for (int i = 0; i < n; ++i) {
     const auto& [name, fault] = kFaults[mRandom() % kinds];
-    mPlayed.emplace_back(name);
+    mPlannedFaults.emplace_back(name);
     auto at = milliseconds(
       mRandom() % (800 * static_cast<std::uint64_t>(mOptions.mSeconds)));
-    Later(at, [this, fault = fault] { (this->*fault)(); });
+    RunAfter(at, [this, fault = fault] { (this->*fault)(); });
   }
 }
 
@@ -42,7 +42,7 @@
 {
   Balancer& it = AnyBalancer();
   it.mProcess.reset();
-  Later(AWhile(), [this, &it] { StartBalancer(it); });
+  RunAfter(RandomFaultDuration(), [this, &it] { StartBalancer(it); });
 }
 
 void Soak::StopBalancer()
@@ -51,7 +51,7 @@
   if (it.mProcess) {
     it.mProcess->Signal(SIGTERM);
   }
-  Later(milliseconds(2500), [this, &it] { StartBalancer(it); });
+  RunAfter(milliseconds(2500), [this, &it] { StartBalancer(it); });
 }
 
 void Soak::FreezeBalancer()
@@ -66,7 +66,7 @@
     return;
   }
   aProcess->Signal(SIGSTOP);
-  Later(AWhile(), [&aProcess] {
+  RunAfter(RandomFaultDuration(), [&aProcess] {
     if (aProcess) {
       aProcess->Signal(SIGCONT);
     }
@@ -77,7 +77,7 @@
 {
   Agent& it = AnyAgent();
   it.mProcess.reset();
-  Later(AWhile() / 2, [this, &it] { StartAgent(it); });
+  RunAfter(RandomFaultDuration() / 2, [this, &it] { StartAgent(it); });
 }
 
 void Soak::StopAgent()
@@ -86,14 +86,14 @@
   if (it.mProcess) {
     it.mProcess->Signal(SIGTERM);
   }
-  Later(milliseconds(4300), [this, &it] { StartAgent(it); });
+  RunAfter(milliseconds(4300), [this, &it] { StartAgent(it); });
 }
 
 void Soak::CrashHost()
 {
   Agent& it = AnyAgent();
   it.mHost->Crash();
-  Later(AWhile(), [&it] {
+  RunAfter(RandomFaultDuration(), [&it] {
     if (!it.mHost->IsAlive()) {
       it.mHost->Start();
     }
@@ -106,7 +106,7 @@
   it.mHost->Drain();
 }
 
-void Soak::StoreAway()
+void Soak::FailStore()
 {
   StoreFaults faults;
   switch (mRandom() % 4) {
@@ -125,30 +125,30 @@
   }
   mStore.SetFaults(faults);
   mStore.Compact();
-  Later(2 * AWhile(), [this] { mStore.SetFaults({}); });
+  RunAfter(2 * RandomFaultDuration(), [this] { mStore.SetFaults({}); });
 }
 
-void Soak::HarmStoreLink()
+void Soak::ImpairStoreLink()
 {
   TcpProxy& proxy = *AnyBalancer().mStore;
   ProxyFaults faults;
   switch (mRandom() % 4) {
     case 0:
-      faults.mCutsRequests = true;
+      faults.mDropsRequests = true;
       break;
     case 1:
-      faults.mCutsAnswers = true;
+      faults.mDropsResponses = true;
       break;
     case 2:
       faults.mDelay = milliseconds(300);
       break;
     default:
-      faults.mRefuses = true;
+      faults.mResetsNewConnections = true;
       proxy.ResetAll();
       break;
   }
   proxy.SetFaults(faults);
-  Later(2 * AWhile(), [&proxy] { proxy.SetFaults({}); });
+  RunAfter(2 * RandomFaultDuration(), [&proxy] { proxy.SetFaults({}); });
 }
 
 void Soak::Reload()
@@ -162,29 +162,30 @@
 
 void Soak::CutLinks()
 {
-  json::array lost;
+  json::array unreachable;
   for (std::size_t i = 0; i < mAgents.size(); i += 2) {
-    lost.push_back(mAgents[i]->mSettings["tunnel"]);
+    unreachable.push_back(mAgents[i]->mSettings["tunnel"]);
   }
   const Balancer& it = AnyBalancer();
-  SetCut(it, "/fault/cut",
-         json::serialize(json::object{ { "addresses", lost } }));
-  Later(2 * AWhile(), [this, &it] { SetCut(it, "/fault/heal", ""); });
+  SendLinkFault(it, "/fault/cut",
+                json::serialize(json::object{ { "addresses", unreachable } }));
+  RunAfter(2 * RandomFaultDuration(),
+           [this, &it] { SendLinkFault(it, "/fault/heal", ""); });
 }
 
-void Soak::SetCut(const Balancer& aBalancer, const char* aPath,
-                  const std::string& aBody)
+void Soak::SendLinkFault(const Balancer& aBalancer, const char* aPath,
+                         const std::string& aBody)
 {
   HttpRequest request(http::verb::post, aPath, 11);
   request.set(http::field::host, "balancer");
   request.body() = aBody;
   request.prepare_payload();
-  // A balancer that is down has no cut to be told of.
-  aBalancer.mReady->Send(std::move(request), kReadyEvery,
-                         [](const Result<HttpResponse>&) {});
+  // Errors are ignored: a balancer that is down has no cut link to restore.
+  aBalancer.mReadyClient->Send(std::move(request), kReadyInterval,
+                               [](const Result<HttpResponse>&) {});
 }
 
-void Soak::WrongClock()
+void Soak::SetWrongClock()
 {
   constexpr std::int64_t kHourMs = 3600000;
   auto offset = static_cast<std::int64_t>(mRandom() % (2 * kHourMs)) - kHourMs;
@@ -199,23 +200,23 @@
   }
 }
 
-void Soak::RoughFabric()
+void Soak::ImpairFabric()
 {
-  mIsRough = true;
-  Later(2 * AWhile(), [this] { mIsRough = false; });
+  mFabricImpaired = true;
+  RunAfter(2 * RandomFaultDuration(), [this] { mFabricImpaired = false; });
 }
 
-void Soak::Calm()
+void Soak::EndFaults()
 {
-  mIsRough = false;
+  mFabricImpaired = false;
   mStore.SetFaults({});
   for (auto& it : mBalancers) {
     it->mStore->SetFaults({});
-    SetCut(*it, "/fault/heal", "");
-    Revive(it->mProcess, [&] { StartBalancer(*it); });
+    SendLinkFault(*it, "/fault/heal", "");
+    ResumeOrRestart(it->mProcess, [&] { StartBalancer(*it); });
   }
   for (auto& it : mAgents) {
-    Revive(it->mProcess, [&] { StartAgent(*it); });
+    ResumeOrRestart(it->mProcess, [&] { StartAgent(*it); });
     if (!it->mHost->IsAlive()) {
       it->mHost->Start();
     }
--- a/lab/soak/SoakWorld.cpp
+++ b/lab/soak/SoakWorld.cpp
@@ -1,4 +1,4 @@
-// The processes and what stands around them.
+// The processes under test and their simulated environment.
 #include "lab/soak/SoakWorld.h"
 
 #include <algorithm>
@@ -17,28 +17,28 @@
   if (!Build()) {
     return false;
   }
-  mContext.run_for(kStartWithin);
-  Traffic();
+  mContext.run_for(kStartDuration);
+  StartTraffic();
   PlanFaults();
   mContext.run_for(seconds(mOptions.mSeconds));
-  Calm();
-  mContext.run_for(kCalmFor);
-  CheckFlowsAreFound();
-  CheckRoutesChange();
+  EndFaults();
+  mContext.run_for(kCalmDuration);
+  CheckOpenFlowsAreReachable();
+  CheckRouteChanges();
   mTrafficOn = false;
   mContext.run_for(seconds(2));
-  CheckServed();
+  CheckCallsAnswered();
   Print();
   return mViolations.empty();
 }
 
-Address Soak::At(int aMachine, std::uint16_t aPort) const
+Address Soak::AddressOf(int aMachine, std::uint16_t aPort) const
 {
-  return *ParseAddress(mNet + std::to_string(aMachine) + ":" +
+  return *ParseAddress(mSubnet + std::to_string(aMachine) + ":" +
                        std::to_string(aPort));
 }
 
-Address Soak::RouteOf(int aIndex) const
+Address Soak::RouteAddress(int aIndex) const
 {
   return *ParseAddress("198.18.0." + std::to_string(aIndex) + ":80");
 }
@@ -63,7 +63,8 @@
 {
   std::filesystem::create_directories(mOptions.mFolder);
   WriteRoutes({ { 1, "one" }, { 2, "two" } });
-  bool built = Must(mStore.Listen(At(251, 0))) && Must(mCallers.Listen());
+  bool built =
+    Succeeded(mStore.Listen(AddressOf(251, 0))) && Succeeded(mCallers.Listen());
   for (int i = 0; built && i < mOptions.mBalancers; ++i) {
     built = BuildBalancer(i);
   }
@@ -73,7 +74,7 @@
   return built;
 }
 
-bool Soak::Must(const Result<void>& aResult)
+bool Soak::Succeeded(const Result<void>& aResult)
 {
   if (!aResult) {
     std::fprintf(stderr, "soak: %s\n", aResult.error().Describe().c_str());
@@ -81,22 +82,22 @@
   return aResult.has_value();
 }
 
-json::object Soak::Shared(int aMachine, const std::string& aName,
-                          const Address& aStore) const
+json::object Soak::CommonSettings(int aMachine, const std::string& aName,
+                                  const Address& aStore) const
 {
   json::array seeds;
   for (int i = 0; i < std::min(3, mOptions.mBalancers); ++i) {
-    seeds.push_back(json::value(At(1 + i, 1).ToString()));
+    seeds.push_back(json::value(AddressOf(1 + i, 1).ToString()));
   }
   return { { "name", aName },
            { "data_centre", "z" + std::to_string(aMachine % 2) },
-           { "tunnel", At(aMachine, kInnerPort).ToString() },
-           { "control", At(aMachine, kInnerPort).ToString() },
-           { "admin", At(aMachine, kAdminPort).ToString() },
+           { "tunnel", AddressOf(aMachine, kInnerPort).ToString() },
+           { "control", AddressOf(aMachine, kInnerPort).ToString() },
+           { "admin", AddressOf(aMachine, kAdminPort).ToString() },
            { "platform", aStore.ToString() },
            { "seeds", seeds },
            { "seed_port", kInnerPort },
-           { "caller_port_of", At(aMachine, kCallerPort).ToString() } };
+           { "caller_port_of", AddressOf(aMachine, kCallerPort).ToString() } };
 }
 
 bool Soak::BuildBalancer(int aIndex)
@@ -105,14 +106,14 @@
   auto balancer = std::make_unique<Balancer>();
   balancer->mStore =
     std::make_unique<TcpProxy>(mContext.get_executor(), mStore.Local());
-  if (!Must(balancer->mStore->Listen(At(machine, 0)))) {
+  if (!Succeeded(balancer->mStore->Listen(AddressOf(machine, 0)))) {
     return false;
   }
   std::string name = "balancer-" + std::to_string(aIndex);
-  balancer->mIngress = At(machine, kCallerPort);
-  balancer->mReady =
-    HttpClient::Make(mContext.get_executor(), At(machine, kAdminPort), 1);
-  auto settings = Shared(machine, name, balancer->mStore->Local());
+  balancer->mIngress = AddressOf(machine, kCallerPort);
+  balancer->mReadyClient = HttpClient::Make(mContext.get_executor(),
+                                            AddressOf(machine, kAdminPort), 1);
+  auto settings = CommonSettings(machine, name, balancer->mStore->Local());
   settings["ingress"] = balancer->mIngress.ToString();
   settings["routes_key"] = "config/main";
   settings["fault_injection"] = true;
@@ -120,7 +121,7 @@
   balancer->mSettings = std::move(settings);
   balancer->mLog = mOptions.mFolder + "/" + name + ".log";
   StartBalancer(*balancer);
-  AskReady(*balancer);
+  ProbeReadiness(*balancer);
   mBalancers.push_back(std::move(balancer));
   return true;
 }
@@ -134,20 +135,22 @@
   FlowHost::Settings host;
   host.mName = "host-" + std::to_string(aIndex);
   host.mService = service;
-  host.mInbox = At(machine, kInboxPort);
-  host.mOutbox = At(machine, kOutboxPort);
-  host.mCalls = At(machine, kCallsPort);
-  agent->mHost = std::make_unique<FlowHost>(
-    mContext.get_executor(), host, mRandom(),
-    [this, &agent = *agent](ByteView aPacket) { OnHostGets(agent, aPacket); });
-  if (!Must(agent->mHost->Listen())) {
+  host.mInbox = AddressOf(machine, kInboxPort);
+  host.mOutbox = AddressOf(machine, kOutboxPort);
+  host.mAgentApi = AddressOf(machine, kAgentApiPort);
+  agent->mHost =
+    std::make_unique<FlowHost>(mContext.get_executor(), host, mRandom(),
+                               [this, &agent = *agent](ByteView aPacket) {
+                                 OnHostPacket(agent, aPacket);
+                               });
+  if (!Succeeded(agent->mHost->Listen())) {
     return false;
   }
-  auto settings = Shared(machine, name, mStore.Local());
+  auto settings = CommonSettings(machine, name, mStore.Local());
   settings["service"] = service;
   settings["host_inbox"] = host.mInbox.ToString();
   settings["host_outbox"] = host.mOutbox.ToString();
-  settings["host_calls"] = host.mCalls.ToString();
+  settings["host_calls"] = host.mAgentApi.ToString();
   settings["host_heartbeat_ms"] = 400;
   agent->mName = name;
   agent->mSettings = std::move(settings);
@@ -158,58 +161,58 @@
   return true;
 }
 
-void Soak::Launch(Kept& aKept, const char* aCommand)
+void Soak::Launch(ManagedProcess& aProcess, const char* aCommand)
 {
-  aKept.mProcess.reset();
-  std::string path = mOptions.mFolder + "/" + aKept.mName + ".json";
-  std::ofstream(path) << json::serialize(aKept.mSettings);
+  aProcess.mProcess.reset();
+  std::string path = mOptions.mFolder + "/" + aProcess.mName + ".json";
+  std::ofstream(path) << json::serialize(aProcess.mSettings);
   auto started = Process::Start(
-    { mOptions.mBin, aCommand, "--settings=" + path }, aKept.mLog);
+    { mOptions.mBin, aCommand, "--settings=" + path }, aProcess.mLog);
   if (started) {
-    aKept.mProcess = std::move(*started);
+    aProcess.mProcess = std::move(*started);
   } else {
     std::fprintf(stderr, "soak: %s\n", started.error().Describe().c_str());
   }
 }
 
-void Soak::AskReady(Balancer& aBalancer)
+void Soak::ProbeReadiness(Balancer& aBalancer)
 {
   HttpRequest request(http::verb::get, "/readyz", 11);
   request.set(http::field::host, "balancer");
-  aBalancer.mReady->Send(std::move(request), kReadyEvery,
-                         [&aBalancer](Result<HttpResponse> aAnswer) {
-                           bool ready =
-                             aAnswer && aAnswer->result() == http::status::ok;
-                           aBalancer.mMisses =
-                             ready ? 0 : aBalancer.mMisses + 1;
-                         });
-  Later(kReadyEvery, [this, &aBalancer] { AskReady(aBalancer); });
+  aBalancer.mReadyClient->Send(
+    std::move(request), kReadyInterval,
+    [&aBalancer](Result<HttpResponse> aAnswer) {
+      bool ready = aAnswer && aAnswer->result() == http::status::ok;
+      aBalancer.mReadyMisses = ready ? 0 : aBalancer.mReadyMisses + 1;
+    });
+  RunAfter(kReadyInterval, [this, &aBalancer] { ProbeReadiness(aBalancer); });
 }
 
-void Soak::ToBalancer(const FlowKey& aFlow, const Bytes& aPacket)
+void Soak::SendToBalancer(const FlowKey& aFlow, const Bytes& aPacket)
 {
-  mSent.insert(aPacket);
-  std::vector<Balancer*> in;
+  mSentPackets.insert(aPacket);
+  std::vector<Balancer*> ready;
   for (auto& it : mBalancers) {
-    if (it->mMisses < kMissesOut) {
-      in.push_back(it.get());
+    if (it->mReadyMisses < kMaxReadyMisses) {
+      ready.push_back(it.get());
     }
   }
-  if (in.empty()) {
+  if (ready.empty()) {
     return;
   }
-  Balancer* to = in[HashFlow(aFlow) % in.size()];
+  Balancer* to = ready[HashFlow(aFlow) % ready.size()];
   if (!mFabric) {
-    mFabric =
-      *DatagramSocket::Make(mContext.get_executor(), At(252, 0), nullptr);
+    mFabric = *DatagramSocket::Make(mContext.get_executor(), AddressOf(252, 0),
+                                    nullptr);
   }
-  Fabric(aPacket, to->mIngress);
+  SendThroughFabric(aPacket, to->mIngress);
 }
 
-void Soak::Fabric(const Bytes& aPacket, const Address& aTo)
+void Soak::SendThroughFabric(const Bytes& aPacket, const Address& aTo)
 {
-  constexpr std::uint64_t kOneOf = 10;
-  auto fate = mIsRough ? mRandom() % kOneOf : kOneOf;
+  // While impaired: 0 drops the packet, 1 duplicates it, 2 delays it.
+  constexpr std::uint64_t kFates = 10;
+  auto fate = mFabricImpaired ? mRandom() % kFates : kFates;
   if (fate == 0) {
     return;
   }
@@ -217,40 +220,40 @@
     mFabric->Send(aPacket, aTo);
   }
   if (fate == 2) {
-    Later(milliseconds(mRandom() % 300),
-          [this, aPacket, aTo] { mFabric->Send(aPacket, aTo); });
+    RunAfter(milliseconds(mRandom() % 300),
+             [this, aPacket, aTo] { mFabric->Send(aPacket, aTo); });
     return;
   }
   mFabric->Send(aPacket, aTo);
 }
 
-void Soak::Later(Duration aAfter, std::function<void()> aWhat)
+void Soak::RunAfter(Duration aDelay, std::function<void()> aTask)
 {
-  auto timer = std::make_shared<boost::asio::steady_timer>(mContext, aAfter);
+  auto timer = std::make_shared<boost::asio::steady_timer>(mContext, aDelay);
   timer->async_wait(
-    [timer, what = std::move(aWhat)](boost::system::error_code aEc) {
+    [timer, task = std::move(aTask)](boost::system::error_code aEc) {
       if (!aEc) {
-        what();
+        task();
       }
     });
 }
 
-void Soak::Traffic()
+void Soak::StartTraffic()
 {
   mTrafficOn = true;
-  NextFlow();
+  OpenNextFlow();
 }
 
-void Soak::NextFlow()
+void Soak::OpenNextFlow()
 {
   if (!mTrafficOn) {
     return;
   }
-  mCallers.Begin(RouteOf(mRandom() % 4 == 0 ? 2 : 1));
+  mCallers.OpenFlow(RouteAddress(mRandom() % 4 == 0 ? 2 : 1));
   std::exponential_distribution<double> gap(kFlowsPerSecond);
-  Later(
+  RunAfter(
     std::chrono::microseconds(static_cast<std::int64_t>(gap(mRandom) * 1e6)),
-    [this] { NextFlow(); });
+    [this] { OpenNextFlow(); });
 }
 
 } // namespace heatherplank::lab
--- a/lab/soak/SoakWorld.h
+++ b/lab/soak/SoakWorld.h
@@ -31,21 +31,24 @@
 inline constexpr std::uint16_t kAdminPort = 7702;
 inline constexpr std::uint16_t kInboxPort = 7703;
 inline constexpr std::uint16_t kOutboxPort = 7704;
-inline constexpr std::uint16_t kCallsPort = 7705;
-/** New flows a second, all callers together. */
+inline constexpr std::uint16_t kAgentApiPort = 7705;
+/** New flows per second of all callers together. */
 inline constexpr int kFlowsPerSecond = 120;
-/** How often the fabric asks a balancer whether it is ready; two misses take
- * it out. */
-inline constexpr auto kReadyEvery = milliseconds(500);
-inline constexpr int kMissesOut = 2;
-/** A packet may be on its way from the agent as its host leaves. */
-inline constexpr auto kLeaveSlack = milliseconds(100);
-/** Routes must be in force within this in calm. */
-inline constexpr auto kRoutesWithin = seconds(3);
-inline constexpr auto kStartWithin = seconds(4);
-inline constexpr auto kCalmFor = seconds(4);
-
-/** One run's world. Everything but the processes runs on one thread. */
+/** How often the fabric probes each balancer's readiness. A balancer that fails
+ * kMaxReadyMisses probes in a row receives no packets. */
+inline constexpr auto kReadyInterval = milliseconds(500);
+inline constexpr int kMaxReadyMisses = 2;
+/** For this long after a drain was acknowledged, a new flow may still arrive:
+ * its packet was already on the way from the agent. */
+inline constexpr auto kDrainSlack = milliseconds(100);
+/** Time for new routes to be in force on every balancer without faults. */
+inline constexpr auto kRoutesTimeout = seconds(3);
+/** Time for the processes to start. */
+inline constexpr auto kStartDuration = seconds(4);
+/** Time between the end of the faults and the checks. */
+inline constexpr auto kCalmDuration = seconds(4);
+
+/** One soak run. Everything but the processes under test runs on one thread. */
 class Soak
 {
 public:
@@ -53,12 +56,12 @@
     : mOptions(aOptions)
     , mRandom(aOptions.mSeed)
     , mStore(mContext.get_executor())
-    , mNet("127." + std::to_string(16 + aOptions.mSeed / 200 % 200) + "." +
-           std::to_string(aOptions.mSeed % 200) + ".")
+    , mSubnet("127." + std::to_string(16 + aOptions.mSeed / 200 % 200) + "." +
+              std::to_string(aOptions.mSeed % 200) + ".")
     , mCallers(
-        mContext.get_executor(), At(250, kCallerPort),
+        mContext.get_executor(), AddressOf(250, kCallerPort),
         [this](const FlowKey& aFlow, const Bytes& aPacket) {
-          ToBalancer(aFlow, aPacket);
+          SendToBalancer(aFlow, aPacket);
         },
         [this](const FlowCallers::Call& aCall) { OnReset(aCall); })
   {
@@ -67,38 +70,39 @@
   bool Run();
 
 private:
-  /** A process, and what it is started with. */
-  struct Kept
+  /** A process under test, its settings and its log file. */
+  struct ManagedProcess
   {
     std::unique_ptr<Process> mProcess;
     std::string mName;
     json::object mSettings;
     std::string mLog;
   };
-  struct Balancer : Kept
+  struct Balancer : ManagedProcess
   {
     std::unique_ptr<TcpProxy> mStore;
-    std::shared_ptr<HttpClient> mReady;
+    std::shared_ptr<HttpClient> mReadyClient;
     Address mIngress;
-    int mMisses = kMissesOut;
+    int mReadyMisses = kMaxReadyMisses;
   };
-  struct Agent : Kept
+  struct Agent : ManagedProcess
   {
     std::unique_ptr<FlowHost> mHost;
   };
 
-  Address At(int aMachine, std::uint16_t aPort) const;
+  Address AddressOf(int aMachine, std::uint16_t aPort) const;
 
-  Address RouteOf(int aIndex) const;
+  Address RouteAddress(int aIndex) const;
 
   void WriteRoutes(std::initializer_list<std::pair<int, const char*>> aRoutes);
 
   bool Build();
 
-  bool Must(const Result<void>& aResult);
+  /** Whether the result has a value; prints the error otherwise. */
+  bool Succeeded(const Result<void>& aResult);
 
-  json::object Shared(int aMachine, const std::string& aName,
-                      const Address& aStore) const;
+  json::object CommonSettings(int aMachine, const std::string& aName,
+                              const Address& aStore) const;
 
   bool BuildBalancer(int aIndex);
 
@@ -110,36 +114,40 @@
   }
   void StartAgent(Agent& aAgent) { Launch(aAgent, "flow-agent"); }
 
-  void Launch(Kept& aKept, const char* aCommand);
+  void Launch(ManagedProcess& aProcess, const char* aCommand);
 
-  // The fabric: packets of a flow go to a balancer by the hash of the flow over
-  // those that are ready; when one joins or leaves nearly all flows move.
+  // The fabric sends the packets of a flow to one of the ready balancers,
+  // chosen by the flow's hash modulo their number. Nearly all flows move to
+  // another balancer when one joins or leaves.
 
-  void AskReady(Balancer& aBalancer);
+  void ProbeReadiness(Balancer& aBalancer);
 
-  void ToBalancer(const FlowKey& aFlow, const Bytes& aPacket);
+  void SendToBalancer(const FlowKey& aFlow, const Bytes& aPacket);
 
-  void Later(Duration aAfter, std::function<void()> aWhat);
+  void RunAfter(Duration aDelay, std::function<void()> aTask);
 
-  void Traffic();
+  void StartTraffic();
 
-  void NextFlow();
+  void OpenNextFlow();
 
-  // What must hold, as callers and hosts see it.
+  // Checks of what callers and hosts observe.
 
-  void Violated(const std::string& aWhat);
+  void RecordViolation(const std::string& aMessage);
 
   void OnReset(const FlowCallers::Call& aCall);
 
-  void OnHostGets(Agent& aAgent, ByteView aPacket);
+  void OnHostPacket(Agent& aAgent, ByteView aPacket);
 
-  // Faults come in series and overlap.
+  // Faults, which may overlap.
 
   void PlanFaults();
 
   Balancer& AnyBalancer() { return *mBalancers[mRandom() % mBalancers.size()]; }
   Agent& AnyAgent() { return *mAgents[mRandom() % mAgents.size()]; }
-  milliseconds AWhile() { return milliseconds(100 + mRandom() % 1500); }
+  milliseconds RandomFaultDuration()
+  {
+    return milliseconds(100 + mRandom() % 1500);
+  }
 
   void KillBalancer();
 
@@ -157,32 +165,32 @@
 
   void CrashHost();
 
-  /** At most one host of a service leaves, or none would be left. */
+  /** Drains the first or the second host, both of service one, so that each
+   * service keeps hosts that do not drain. */
   void DrainHost();
 
-  void StoreAway();
+  void FailStore();
 
-  void HarmStoreLink();
+  void ImpairStoreLink();
 
   void Reload();
 
-  /** A balancer and half of the agents lose each other. */
+  /** Cuts the links between a balancer and every second agent. */
   void CutLinks();
-  void SetCut(const Balancer& aBalancer, const char* aPath,
-              const std::string& aBody);
+  void SendLinkFault(const Balancer& aBalancer, const char* aPath,
+                     const std::string& aBody);
 
-  /** A process starts again with a time of day that is wrong by up to an hour.
-   */
-  void WrongClock();
-  /** Packets of callers are lost, doubled and late for a while. */
-  void RoughFabric();
-  void Fabric(const Bytes& aPacket, const Address& aTo);
+  /** Restarts a process with a wall clock that is wrong by up to an hour. */
+  void SetWrongClock();
+  /** Drops, duplicates and delays callers' packets for a while. */
+  void ImpairFabric();
+  void SendThroughFabric(const Bytes& aPacket, const Address& aTo);
 
-  /** Ends every fault that did not end by itself. */
-  void Calm();
+  /** Ends every fault that is still active. */
+  void EndFaults();
 
   template<typename Start>
-  void Revive(std::unique_ptr<Process>& aProcess, Start aStart)
+  void ResumeOrRestart(std::unique_ptr<Process>& aProcess, Start aStart)
   {
     if (aProcess) {
       aProcess->Signal(SIGCONT);
@@ -192,14 +200,16 @@
     }
   }
 
-  /** Every flow that is open at a living host is found in calm. */
-  void CheckFlowsAreFound();
+  /** Without faults, requests on a sample of the open flows reach the flows'
+   * hosts. */
+  void CheckOpenFlowsAreReachable();
 
-  /** A new route serves and a dropped one does not, on every balancer. */
-  void CheckRoutesChange();
+  /** Flows of a new route are accepted and flows without a route are not,
+   * whichever balancer they reach. */
+  void CheckRouteChanges();
 
-  /** In calm nearly every call is answered. */
-  void CheckServed();
+  /** Without faults, at least 98% of the calls are answered. */
+  void CheckCallsAnswered();
 
   void Print() const;
 
@@ -207,18 +217,18 @@
   std::mt19937_64 mRandom;
   boost::asio::io_context mContext;
   StoreStandIn mStore;
-  const std::string mNet;
+  const std::string mSubnet;
   FlowCallers mCallers;
   std::shared_ptr<DatagramSocket> mFabric;
   std::vector<std::unique_ptr<Balancer>> mBalancers;
   std::vector<std::unique_ptr<Agent>> mAgents;
-  std::set<Bytes> mSent;
-  std::vector<std::string> mPlayed;
+  std::set<Bytes> mSentPackets;
+  std::vector<std::string> mPlannedFaults;
   std::vector<std::string> mViolations;
-  std::size_t mFlowsAsked = 0;
+  std::size_t mFlowsSampled = 0;
   std::uint64_t mVersion = 0;
   bool mTrafficOn = false;
-  bool mIsRough = false;
+  bool mFabricImpaired = false;
 };
 
 } // namespace heatherplank::lab
--- a/lab/soak/StoreStandIn.cpp
+++ b/lab/soak/StoreStandIn.cpp
@@ -12,8 +12,8 @@
 namespace {
 
 constexpr std::string_view kObjects = "/api/objects/";
-/** Objects of one page of a list. */
-constexpr std::size_t kPage = 5;
+/** Objects per page of a list. */
+constexpr std::size_t kPageSize = 5;
 
 struct Target
 {
@@ -22,7 +22,7 @@
   std::map<std::string, std::string> mQuery;
 };
 
-Target Split(const std::string& aTarget)
+Target ParseTarget(const std::string& aTarget)
 {
   Target out;
   auto mark = aTarget.find('?');
@@ -44,7 +44,7 @@
   return out;
 }
 
-std::uint64_t Number(const Target& aTarget, const char* aKey)
+std::uint64_t NumericParameter(const Target& aTarget, const char* aKey)
 {
   auto it = aTarget.mQuery.find(aKey);
   return it == aTarget.mQuery.end()
@@ -52,8 +52,8 @@
            : std::strtoull(it->second.c_str(), nullptr, 10);
 }
 
-HttpResponse Answer(const HttpRequest& aRequest, http::status aStatus,
-                    const json::value& aBody)
+HttpResponse JsonResponse(const HttpRequest& aRequest, http::status aStatus,
+                          const json::value& aBody)
 {
   return MakeResponse(aRequest, aStatus, "application/json",
                       json::serialize(aBody));
@@ -83,16 +83,16 @@
 }
 
 json::value StoreStandIn::ToJson(const std::string& aName,
-                                 const Stored& aStored) const
+                                 const StoredObject& aObject) const
 {
   return json::object{ { "meta", json::object{ { "Name", aName },
-                                               { "Rev", aStored.mRevision } } },
-                       { "spec", aStored.mSpec },
+                                               { "Rev", aObject.mRevision } } },
+                       { "spec", aObject.mSpec },
                        { "status", nullptr } };
 }
 
-void StoreStandIn::Note(const std::string& aKind, const std::string& aName,
-                        bool aDeleted)
+void StoreStandIn::RecordChange(const std::string& aKind,
+                                const std::string& aName, bool aDeleted)
 {
   json::object event{ { "Deleted", aDeleted } };
   event["Object"] =
@@ -108,13 +108,13 @@
                          json::value aSpec)
 {
   mObjects[aKind][aName] = { ++mRevision, std::move(aSpec) };
-  Note(aKind, aName, false);
+  RecordChange(aKind, aName, false);
 }
 
 void StoreStandIn::Compact()
 {
   mHistory.clear();
-  mForgotten = mRevision;
+  mCompactedRevision = mRevision;
 }
 
 void StoreStandIn::CutWatches()
@@ -127,17 +127,17 @@
 {
   ++mCalls;
   if (mFaults.mSilent) {
-    // Held, so that the connection stays open without a word.
+    // The timer holds the responder, so the connection stays open unanswered.
     auto timer = std::make_shared<boost::asio::steady_timer>(
       mExecutor, std::chrono::seconds(30));
     timer->async_wait([timer, aRespond](boost::system::error_code) {});
     return;
   }
   if (mFaults.mBusy || mFaults.mMany) {
-    aRespond(Answer(aRequest,
-                    mFaults.mBusy ? http::status::service_unavailable
-                                  : http::status::too_many_requests,
-                    json::object{}));
+    aRespond(JsonResponse(aRequest,
+                          mFaults.mBusy ? http::status::service_unavailable
+                                        : http::status::too_many_requests,
+                          json::object{}));
     return;
   }
   if (mFaults.mDelay == Duration::zero()) {
@@ -155,9 +155,9 @@
 void StoreStandIn::Serve(const HttpRequest& aRequest,
                          const HttpServer::Respond& aRespond)
 {
-  Target target = Split(std::string(aRequest.target()));
+  Target target = ParseTarget(std::string(aRequest.target()));
   if (aRequest.method() != http::verb::get) {
-    auto answer = Change(aRequest, target.mKind, target.mName);
+    auto answer = ApplyWrite(aRequest, target.mKind, target.mName);
     if (!mFaults.mLosesAnswers) {
       aRespond(std::move(answer));
     }
@@ -168,36 +168,39 @@
       Read(aRequest, target.mKind, target.mName, target.mQuery["after"]));
     return;
   }
-  BeginWatch(aRequest, target.mKind, Number(target, "Watch"),
-             std::chrono::milliseconds(Number(target, "WaitMs")), aRespond);
+  BeginWatch(aRequest, target.mKind, NumericParameter(target, "Watch"),
+             std::chrono::milliseconds(NumericParameter(target, "WaitMs")),
+             aRespond);
 }
 
 HttpResponse StoreStandIn::Read(const HttpRequest& aRequest,
                                 const std::string& aKind,
                                 const std::string& aName,
-                                const std::string& aAfter)
+                                const std::string& aAfterName)
 {
   auto& objects = mObjects[aKind];
   if (!aName.empty()) {
     auto it = objects.find(aName);
     return it == objects.end()
-             ? Answer(aRequest, http::status::not_found, json::object{})
-             : Answer(aRequest, http::status::ok, ToJson(aName, it->second));
+             ? JsonResponse(aRequest, http::status::not_found, json::object{})
+             : JsonResponse(aRequest, http::status::ok,
+                            ToJson(aName, it->second));
   }
   json::array items;
-  auto it = aAfter.empty() ? objects.begin() : objects.upper_bound(aAfter);
-  for (; it != objects.end() && items.size() < kPage; ++it) {
+  auto it =
+    aAfterName.empty() ? objects.begin() : objects.upper_bound(aAfterName);
+  for (; it != objects.end() && items.size() < kPageSize; ++it) {
     items.push_back(ToJson(it->first, it->second));
   }
-  return Answer(aRequest, http::status::ok,
-                json::object{ { "items", std::move(items) },
-                              { "HasMore", it != objects.end() },
-                              { "At", mRevision } });
+  return JsonResponse(aRequest, http::status::ok,
+                      json::object{ { "items", std::move(items) },
+                                    { "HasMore", it != objects.end() },
+                                    { "At", mRevision } });
 }
 
-HttpResponse StoreStandIn::Change(const HttpRequest& aRequest,
-                                  const std::string& aKind,
-                                  const std::string& aName)
+HttpResponse StoreStandIn::ApplyWrite(const HttpRequest& aRequest,
+                                      const std::string& aKind,
+                                      const std::string& aName)
 {
   json::error_code ec;
   auto body = json::parse(aRequest.body(), ec);
@@ -216,40 +219,42 @@
   }
   auto& objects = mObjects[aKind];
   auto it = objects.find(name);
-  bool there = it != objects.end();
-  bool conflict = (creates && there) ||
-                  (expected != 0 && there && it->second.mRevision != expected);
+  bool exists = it != objects.end();
+  bool conflict = (creates && exists) ||
+                  (expected != 0 && exists && it->second.mRevision != expected);
   if (conflict) {
-    return Answer(aRequest, http::status::conflict, ToJson(name, it->second));
+    return JsonResponse(aRequest, http::status::conflict,
+                        ToJson(name, it->second));
   }
-  if (!creates && !there) {
-    return Answer(aRequest, http::status::not_found, json::object{});
+  if (!creates && !exists) {
+    return JsonResponse(aRequest, http::status::not_found, json::object{});
   }
   ++mRevision;
   if (aRequest.method() == http::verb::delete_) {
     json::value last = ToJson(name, it->second);
     objects.erase(it);
-    Note(aKind, name, true);
-    return Answer(aRequest, http::status::ok, last);
+    RecordChange(aKind, name, true);
+    return JsonResponse(aRequest, http::status::ok, last);
   }
   objects[name] = { mRevision, object != nullptr && object->contains("spec")
                                  ? object->at("spec")
                                  : json::value(nullptr) };
-  Note(aKind, name, false);
-  return Answer(aRequest, http::status::ok, ToJson(name, objects[name]));
+  RecordChange(aKind, name, false);
+  return JsonResponse(aRequest, http::status::ok, ToJson(name, objects[name]));
 }
 
 void StoreStandIn::BeginWatch(const HttpRequest& aRequest,
-                              const std::string& aKind, std::uint64_t aAfter,
-                              Duration aWait, HttpServer::Respond aRespond)
+                              const std::string& aKind,
+                              std::uint64_t aAfterRevision, Duration aWait,
+                              HttpServer::Respond aRespond)
 {
-  if (aAfter < mForgotten) {
-    aRespond(Answer(aRequest, http::status::gone, json::object{}));
+  if (aAfterRevision < mCompactedRevision) {
+    aRespond(JsonResponse(aRequest, http::status::gone, json::object{}));
     return;
   }
   auto timer = std::make_unique<boost::asio::steady_timer>(mExecutor, aWait);
   mWatches.push_back(
-    { aRequest, aKind, aAfter, std::move(aRespond), std::move(timer) });
+    { aRequest, aKind, aAfterRevision, std::move(aRespond), std::move(timer) });
   Watch& watch = mWatches.back();
   if (AnswerWatch(watch, false)) {
     mWatches.pop_back();
@@ -264,18 +269,18 @@
   });
 }
 
-bool StoreStandIn::AnswerWatch(Watch& aWatch, bool aTimeIsUp)
+bool StoreStandIn::AnswerWatch(Watch& aWatch, bool aTimedOut)
 {
   json::array events;
   for (const auto& it : mHistory) {
-    if (it.mKind == aWatch.mKind && it.mRevision > aWatch.mAfter) {
+    if (it.mKind == aWatch.mKind && it.mRevision > aWatch.mAfterRevision) {
       events.push_back(it.mEvent);
     }
   }
-  if (events.empty() && !aTimeIsUp) {
+  if (events.empty() && !aTimedOut) {
     return false;
   }
-  aWatch.mRespond(Answer(
+  aWatch.mRespond(JsonResponse(
     aWatch.mRequest, http::status::ok,
     json::object{ { "events", std::move(events) }, { "At", mRevision } }));
   return true;
--- a/lab/soak/StoreStandIn.h
+++ b/lab/soak/StoreStandIn.h
@@ -16,24 +16,25 @@
 
 namespace heatherplank::lab {
 
-/** What the stand-in does with calls. */
+/** Faults that the stand-in injects into its responses. */
 struct StoreFaults
 {
-  /** Answers 503 without doing anything. */
+  /** Answers 503 without processing the request. */
   bool mBusy = false;
-  /** Answers 429 without doing anything. */
+  /** Answers 429 without processing the request. */
   bool mMany = false;
-  /** Does nothing and never answers. */
+  /** Neither processes requests nor answers them. */
   bool mSilent = false;
-  /** Does what a write says, and never answers. */
+  /** Applies writes without answering them. */
   bool mLosesAnswers = false;
-  /** Answers this much later. */
+  /** Delay before a request is processed. */
   Duration mDelay{};
 };
 
-/** A small store that speaks the platform's contract: objects by kind and name
- * with revisions, lists, watches, conditional writes. Keeps a bounded history.
- * Runs on one thread, that of its executor.
+/** An in-memory object store with the HTTP interface of the platform's
+ * contract: objects by kind and name with revisions, paged lists, watches and
+ * conditional writes. Keeps every change until Compact. Single-threaded: used
+ * only on its executor's thread.
  */
 class StoreStandIn
 {
@@ -41,26 +42,27 @@
   explicit StoreStandIn(boost::asio::any_io_executor aExecutor);
   ~StoreStandIn();
 
-  /** System if the address can't be bound. Port 0 takes a free one. */
+  /** Port 0 picks a free port. Returns ErrorKind::System if the address can't
+   * be bound. */
   Result<void> Listen(const Address& aAddress);
   Address Local() const { return mServer->Local(); }
 
-  /** Writes as the operator does, past all faults. */
+  /** Writes an object directly, as an operator would; faults do not apply. */
   void Write(const std::string& aKind, const std::string& aName,
              boost::json::value aSpec);
 
   void SetFaults(const StoreFaults& aFaults) { mFaults = aFaults; }
 
-  /** Forgets the changes so far: watches from before get 410. */
+  /** Discards the history. New watches from an earlier revision get 410. */
   void Compact();
 
-  /** Cuts off every waiting watch. */
+  /** Drops every waiting watch without answering it. */
   void CutWatches();
 
   std::uint64_t Calls() const { return mCalls; }
 
 private:
-  struct Stored
+  struct StoredObject
   {
     std::uint64_t mRevision = 0;
     boost::json::value mSpec;
@@ -75,7 +77,7 @@
   {
     HttpRequest mRequest;
     std::string mKind;
-    std::uint64_t mAfter = 0;
+    std::uint64_t mAfterRevision = 0;
     HttpServer::Respond mRespond;
     std::unique_ptr<boost::asio::steady_timer> mTimer;
   };
@@ -83,23 +85,24 @@
   void Handle(const HttpRequest& aRequest, const HttpServer::Respond& aRespond);
   void Serve(const HttpRequest& aRequest, const HttpServer::Respond& aRespond);
   HttpResponse Read(const HttpRequest& aRequest, const std::string& aKind,
-                    const std::string& aName, const std::string& aAfter);
-  HttpResponse Change(const HttpRequest& aRequest, const std::string& aKind,
-                      const std::string& aName);
+                    const std::string& aName, const std::string& aAfterName);
+  HttpResponse ApplyWrite(const HttpRequest& aRequest, const std::string& aKind,
+                          const std::string& aName);
   void BeginWatch(const HttpRequest& aRequest, const std::string& aKind,
-                  std::uint64_t aAfter, Duration aWait,
+                  std::uint64_t aAfterRevision, Duration aWait,
                   HttpServer::Respond aRespond);
-  bool AnswerWatch(Watch& aWatch, bool aTimeIsUp);
-  void Note(const std::string& aKind, const std::string& aName, bool aDeleted);
+  bool AnswerWatch(Watch& aWatch, bool aTimedOut);
+  void RecordChange(const std::string& aKind, const std::string& aName,
+                    bool aDeleted);
   boost::json::value ToJson(const std::string& aName,
-                            const Stored& aStored) const;
+                            const StoredObject& aObject) const;
 
   boost::asio::any_io_executor mExecutor;
   std::shared_ptr<HttpServer> mServer;
   StoreFaults mFaults;
-  std::map<std::string, std::map<std::string, Stored>> mObjects;
-  std::deque<struct Change> mHistory;
-  std::uint64_t mForgotten = 0;
+  std::map<std::string, std::map<std::string, StoredObject>> mObjects;
+  std::deque<Change> mHistory;
+  std::uint64_t mCompactedRevision = 0;
   std::uint64_t mRevision = 100;
   std::list<Watch> mWatches;
   std::uint64_t mCalls = 0;
--- a/lab/soak/TcpProxy.cpp
+++ b/lab/soak/TcpProxy.cpp
@@ -18,42 +18,42 @@
 
 namespace {
 
-/** One connection through the proxy: two sockets and the bytes between. */
-struct Pair : std::enable_shared_from_this<Pair>
+/** One proxied connection: a socket to the client and one to the server. */
+struct Connection : std::enable_shared_from_this<Connection>
 {
-  Pair(const asio::any_io_executor& aExecutor, const ProxyFaults& aFaults)
+  Connection(const asio::any_io_executor& aExecutor, const ProxyFaults& aFaults)
     : mClient(aExecutor)
     , mServer(aExecutor)
     , mFaults(aFaults)
   {
   }
 
-  void Pump(tcp::socket& aFrom, tcp::socket& aTo, const bool& aSwallows)
+  void Pump(tcp::socket& aFrom, tcp::socket& aTo, const bool& aDrops)
   {
     auto buffer = std::make_shared<std::array<char, 16384>>();
     aFrom.async_read_some(
       asio::buffer(*buffer),
-      [self = shared_from_this(), this, &aFrom, &aTo, &aSwallows,
+      [self = shared_from_this(), this, &aFrom, &aTo, &aDrops,
        buffer](error_code aEc, std::size_t aCount) {
         if (aEc) {
           Close();
           return;
         }
-        if (aSwallows) {
-          Pump(aFrom, aTo, aSwallows);
+        if (aDrops) {
+          Pump(aFrom, aTo, aDrops);
           return;
         }
         auto timer = std::make_shared<asio::steady_timer>(aFrom.get_executor());
         timer->expires_after(mFaults.mDelay);
-        timer->async_wait([self, this, &aFrom, &aTo, &aSwallows, buffer, timer,
+        timer->async_wait([self, this, &aFrom, &aTo, &aDrops, buffer, timer,
                            aCount](error_code) {
           asio::async_write(aTo, asio::buffer(*buffer, aCount),
-                            [self, this, &aFrom, &aTo, &aSwallows,
+                            [self, this, &aFrom, &aTo, &aDrops,
                              buffer](error_code aWriteEc, std::size_t) {
                               if (aWriteEc) {
                                 Close();
                               } else {
-                                Pump(aFrom, aTo, aSwallows);
+                                Pump(aFrom, aTo, aDrops);
                               }
                             });
         });
@@ -92,40 +92,44 @@
 
   void Accept()
   {
-    auto pair = std::make_shared<Pair>(mAcceptor.get_executor(), mFaults);
+    auto connection =
+      std::make_shared<Connection>(mAcceptor.get_executor(), mFaults);
     mAcceptor.async_accept(
-      pair->mClient, [self = shared_from_this(), this, pair](error_code aEc) {
+      connection->mClient,
+      [self = shared_from_this(), this, connection](error_code aEc) {
         if (aEc == asio::error::operation_aborted) {
           return;
         }
-        if (aEc || mFaults.mRefuses) {
-          pair->Reset();
+        if (aEc || mFaults.mResetsNewConnections) {
+          connection->Reset();
         } else {
-          Connect(pair);
+          Connect(connection);
         }
         Accept();
       });
   }
 
-  void Connect(const std::shared_ptr<Pair>& aPair)
+  void Connect(const std::shared_ptr<Connection>& aConnection)
   {
-    std::erase_if(mPairs, [](const auto& aIt) { return aIt.expired(); });
-    mPairs.push_back(aPair);
-    aPair->mServer.async_connect(
-      mServer, [self = shared_from_this(), this, aPair](error_code aEc) {
+    std::erase_if(mConnections, [](const auto& aIt) { return aIt.expired(); });
+    mConnections.push_back(aConnection);
+    aConnection->mServer.async_connect(
+      mServer, [self = shared_from_this(), this, aConnection](error_code aEc) {
         if (aEc) {
-          aPair->Reset();
+          aConnection->Reset();
           return;
         }
-        aPair->Pump(aPair->mClient, aPair->mServer, mFaults.mCutsRequests);
-        aPair->Pump(aPair->mServer, aPair->mClient, mFaults.mCutsAnswers);
+        aConnection->Pump(aConnection->mClient, aConnection->mServer,
+                          mFaults.mDropsRequests);
+        aConnection->Pump(aConnection->mServer, aConnection->mClient,
+                          mFaults.mDropsResponses);
       });
   }
 
   tcp::acceptor mAcceptor;
   tcp::endpoint mServer;
   ProxyFaults mFaults;
-  std::vector<std::weak_ptr<Pair>> mPairs;
+  std::vector<std::weak_ptr<Connection>> mConnections;
 };
 
 TcpProxy::TcpProxy(const asio::any_io_executor& aExecutor,
@@ -170,9 +174,9 @@
 
 void TcpProxy::ResetAll()
 {
-  for (const auto& it : mImpl->mPairs) {
-    if (auto pair = it.lock()) {
-      pair->Reset();
+  for (const auto& it : mImpl->mConnections) {
+    if (auto connection = it.lock()) {
+      connection->Reset();
     }
   }
 }
--- a/lab/soak/TcpProxy.h
+++ b/lab/soak/TcpProxy.h
@@ -11,21 +11,21 @@
 
 namespace heatherplank::lab {
 
-/** What a proxy does to the connections through it. */
+/** Faults that a proxy injects into its connections. */
 struct ProxyFaults
 {
-  /** Bytes are passed on this much later. */
+  /** Delay before bytes are forwarded. */
   Duration mDelay{};
-  /** Bytes to the server are swallowed. */
-  bool mCutsRequests = false;
-  /** Bytes from the server are swallowed. */
-  bool mCutsAnswers = false;
+  /** Bytes to the server are discarded. */
+  bool mDropsRequests = false;
+  /** Bytes from the server are discarded. */
+  bool mDropsResponses = false;
   /** New connections are reset. */
-  bool mRefuses = false;
+  bool mResetsNewConnections = false;
 };
 
-/** A proxy on loopback between two processes, which harms what goes through
- * it from outside of both. Runs on one thread, that of its executor.
+/** A TCP proxy between two processes that injects faults into their
+ * connections. Single-threaded: used only on its executor's thread.
  */
 class TcpProxy
 {
@@ -34,7 +34,8 @@
            const Address& aServer);
   ~TcpProxy();
 
-  /** Takes a free port at this address. */
+  /** Listens at the address; port 0 picks a free port. Returns
+   * ErrorKind::System if the address can't be bound. */
   Result<void> Listen(const Address& aAddress);
   Address Local() const;
 
