--- a/lab/soak/SoakFaults.cpp
+++ b/lab/soak/SoakFaults.cpp
@@ -19,7 +19,7 @@
     { "agent_freeze", &Soak::FreezeAgent },
     { "host_crash", &Soak::CrashHost },
     { "host_drain", &Soak::DrainHost },
-    { "store_away", &Soak::FailStore },
+    { "store_away", &Soak::ImpairStore },
     { "store_link", &Soak::ImpairStoreLink },
     { "reload", &Soak::Reload },
     { "link_cut", &Soak::CutLinks },
@@ -106,7 +106,7 @@
   it.mHost->Drain();
 }
 
-void Soak::FailStore()
+void Soak::ImpairStore()
 {
   StoreFaults faults;
   switch (mRandom() % 4) {
--- a/lab/soak/SoakWorld.cpp
+++ b/lab/soak/SoakWorld.cpp
@@ -22,7 +22,7 @@
   PlanFaults();
   mContext.run_for(seconds(mOptions.mSeconds));
   EndFaults();
-  mContext.run_for(kCalmDuration);
+  mContext.run_for(kSettleDuration);
   CheckOpenFlowsAreReachable();
   CheckRouteChanges();
   mTrafficOn = false;
@@ -32,9 +32,9 @@
   return mViolations.empty();
 }
 
-Address Soak::AddressOf(int aMachine, std::uint16_t aPort) const
+Address Soak::AddressOf(int aVm, std::uint16_t aPort) const
 {
-  return *ParseAddress(mSubnet + std::to_string(aMachine) + ":" +
+  return *ParseAddress(mSubnet + std::to_string(aVm) + ":" +
                        std::to_string(aPort));
 }
 
@@ -82,7 +82,7 @@
   return aResult.has_value();
 }
 
-json::object Soak::CommonSettings(int aMachine, const std::string& aName,
+json::object Soak::CommonSettings(int aVm, const std::string& aName,
                                   const Address& aStore) const
 {
   json::array seeds;
@@ -90,30 +90,30 @@
     seeds.push_back(json::value(AddressOf(1 + i, 1).ToString()));
   }
   return { { "name", aName },
-           { "data_centre", "z" + std::to_string(aMachine % 2) },
-           { "tunnel", AddressOf(aMachine, kInnerPort).ToString() },
-           { "control", AddressOf(aMachine, kInnerPort).ToString() },
-           { "admin", AddressOf(aMachine, kAdminPort).ToString() },
+           { "data_centre", "z" + std::to_string(aVm % 2) },
+           { "tunnel", AddressOf(aVm, kInnerPort).ToString() },
+           { "control", AddressOf(aVm, kInnerPort).ToString() },
+           { "admin", AddressOf(aVm, kAdminPort).ToString() },
            { "platform", aStore.ToString() },
            { "seeds", seeds },
            { "seed_port", kInnerPort },
-           { "caller_port_of", AddressOf(aMachine, kCallerPort).ToString() } };
+           { "caller_port_of", AddressOf(aVm, kCallerPort).ToString() } };
 }
 
 bool Soak::BuildBalancer(int aIndex)
 {
-  int machine = 1 + aIndex;
+  int vm = 1 + aIndex;
   auto balancer = std::make_unique<Balancer>();
   balancer->mStore =
     std::make_unique<TcpProxy>(mContext.get_executor(), mStore.Local());
-  if (!Succeeded(balancer->mStore->Listen(AddressOf(machine, 0)))) {
+  if (!Succeeded(balancer->mStore->Listen(AddressOf(vm, 0)))) {
     return false;
   }
   std::string name = "balancer-" + std::to_string(aIndex);
-  balancer->mIngress = AddressOf(machine, kCallerPort);
-  balancer->mReadyClient = HttpClient::Make(mContext.get_executor(),
-                                            AddressOf(machine, kAdminPort), 1);
-  auto settings = CommonSettings(machine, name, balancer->mStore->Local());
+  balancer->mIngress = AddressOf(vm, kCallerPort);
+  balancer->mReadyClient =
+    HttpClient::Make(mContext.get_executor(), AddressOf(vm, kAdminPort), 1);
+  auto settings = CommonSettings(vm, name, balancer->mStore->Local());
   settings["ingress"] = balancer->mIngress.ToString();
   settings["routes_key"] = "config/main";
   settings["fault_injection"] = true;
@@ -128,16 +128,16 @@
 
 bool Soak::BuildAgent(int aIndex)
 {
-  int machine = 50 + aIndex;
+  int vm = 50 + aIndex;
   auto agent = std::make_unique<Agent>();
   std::string name = "agent-" + std::to_string(aIndex);
   std::string service = aIndex % 3 == 2 ? "two" : "one";
   FlowHost::Settings host;
   host.mName = "host-" + std::to_string(aIndex);
   host.mService = service;
-  host.mInbox = AddressOf(machine, kInboxPort);
-  host.mOutbox = AddressOf(machine, kOutboxPort);
-  host.mAgentApi = AddressOf(machine, kAgentApiPort);
+  host.mInbox = AddressOf(vm, kInboxPort);
+  host.mOutbox = AddressOf(vm, kOutboxPort);
+  host.mAgentApi = AddressOf(vm, kAgentApiPort);
   agent->mHost =
     std::make_unique<FlowHost>(mContext.get_executor(), host, mRandom(),
                                [this, &agent = *agent](ByteView aPacket) {
@@ -146,7 +146,7 @@
   if (!Succeeded(agent->mHost->Listen())) {
     return false;
   }
-  auto settings = CommonSettings(machine, name, mStore.Local());
+  auto settings = CommonSettings(vm, name, mStore.Local());
   settings["service"] = service;
   settings["host_inbox"] = host.mInbox.ToString();
   settings["host_outbox"] = host.mOutbox.ToString();
@@ -211,15 +211,15 @@
 void Soak::SendThroughFabric(const Bytes& aPacket, const Address& aTo)
 {
   // While impaired: 0 drops the packet, 1 duplicates it, 2 delays it.
-  constexpr std::uint64_t kFates = 10;
-  auto fate = mFabricImpaired ? mRandom() % kFates : kFates;
-  if (fate == 0) {
+  constexpr std::uint64_t kOutcomes = 10;
+  auto outcome = mFabricImpaired ? mRandom() % kOutcomes : kOutcomes;
+  if (outcome == 0) {
     return;
   }
-  if (fate == 1) {
+  if (outcome == 1) {
     mFabric->Send(aPacket, aTo);
   }
-  if (fate == 2) {
+  if (outcome == 2) {
     RunAfter(milliseconds(mRandom() % 300),
              [this, aPacket, aTo] { mFabric->Send(aPacket, aTo); });
     return;
--- a/lab/soak/SoakWorld.h
+++ b/lab/soak/SoakWorld.h
@@ -46,7 +46,7 @@
 /** Time for the processes to start. */
 inline constexpr auto kStartDuration = seconds(4);
 /** Time between the end of the faults and the checks. */
-inline constexpr auto kCalmDuration = seconds(4);
+inline constexpr auto kSettleDuration = seconds(4);
 
 /** One soak run. Everything but the processes under test runs on one thread. */
 class Soak
@@ -90,7 +90,8 @@
     std::unique_ptr<FlowHost> mHost;
   };
 
-  Address AddressOf(int aMachine, std::uint16_t aPort) const;
+  /** An address of a simulated VM; aVm is the last octet. */
+  Address AddressOf(int aVm, std::uint16_t aPort) const;
 
   Address RouteAddress(int aIndex) const;
 
@@ -101,7 +102,7 @@
   /** Whether the result has a value; prints the error otherwise. */
   bool Succeeded(const Result<void>& aResult);
 
-  json::object CommonSettings(int aMachine, const std::string& aName,
+  json::object CommonSettings(int aVm, const std::string& aName,
                               const Address& aStore) const;
 
   bool BuildBalancer(int aIndex);
@@ -169,7 +170,7 @@
    * service keeps hosts that do not drain. */
   void DrainHost();
 
-  void FailStore();
+  void ImpairStore();
 
   void ImpairStoreLink();
 
