--- a/bench/CapacityBench.cpp
+++ b/bench/CapacityBench.cpp
@@ -156,8 +156,8 @@
     process.mRole = i % 10 == 0 ? "balancer" : "agent";
     process.mDataCentre = "dc-01";
     process.mVersion = 5100;
-    process.mSinceMs = 1796250000000;
-    process.mSeenMs = 1796250000000;
+    process.mInForceSinceMs = 1796250000000;
+    process.mLastReportMs = 1796250000000;
     process.mAdmin = "10.200.100.10:9000";
     object.mProcesses[process.mName] = process;
   }
@@ -208,8 +208,8 @@
   load.mQueued = load.mBusy = 9;
   load.mSlots = 2;
   load.mLatency = load.mServiceTime = milliseconds(9);
-  load.mFailing = 0.5;
-  load.mResults = 9;
+  load.mFailureRate = 0.5;
+  load.mResultCount = 9;
   return message;
 }
 
@@ -234,7 +234,7 @@
   one.mFlows = { { flow, 9, 9, true } };
   Claim full;
   full.mFrom = peer;
-  full.mFlows.assign(kMaxClaims, { flow, 9, 9, true });
+  full.mFlows.assign(kMaxFlowsPerClaim, { flow, 9, 9, true });
   Hint hint{ flow, peer.mHost, peer, 9, true };
   for (auto _ : aState) {
     benchmark::DoNotOptimize(EncodeOwnershipMessage(ask));
--- a/bench/ControlBench.cpp
+++ b/bench/ControlBench.cpp
@@ -45,7 +45,7 @@
     balancer.mMonitors.mCount = aMonitors;
     AgentMembershipOptions agent;
     agent.mMonitors.mCount = aMonitors;
-    agent.mHeartbeatEvery = milliseconds(300);
+    agent.mHeartbeatInterval = milliseconds(300);
     balancer.mSeeds = agent.mSeeds = { AddressOf(0) };
     for (std::int64_t i = 0; i < aBalancers; ++i) {
       Member self =
--- a/bench/MembershipBench.cpp
+++ b/bench/MembershipBench.cpp
@@ -74,7 +74,7 @@
 {
   MemberRecord record;
   record.mMember = aMember;
-  record.mBeat = aBeat;
+  record.mHeartbeatNumber = aBeat;
   record.mAge = std::chrono::hours(1);
   return record;
 }
@@ -90,7 +90,7 @@
   return records;
 }
 
-void HeartbeatTaken(benchmark::State& aState)
+void HeartbeatAccepted(benchmark::State& aState)
 {
   FleetSize size(aState.range(0));
   std::vector<MemberRecord> records = MakeRecords("host-", size.mHosts, size);
@@ -100,8 +100,8 @@
   for (const MemberRecord& it : records) {
     table.OnHeartbeat({ MemberTableId::Hosts, it, 0, 0, 0 }, now);
   }
-  table.TakeChanges(records.size(), now);
-  table.TakeNews(now);
+  table.TakePeerChanges(records.size(), now);
+  table.TakeViewChanges(now);
   std::size_t held = mallinfo2().uordblks - before;
   std::uint32_t beat = 1;
   std::size_t next = 0;
@@ -109,14 +109,14 @@
     if (next == 0) {
       ++beat;
     }
-    records[next].mBeat = beat;
+    records[next].mHeartbeatNumber = beat;
     table.OnHeartbeat({ MemberTableId::Hosts, records[next], 0, 0, 0 }, now);
     next = (next + 1) % records.size();
   }
   aState.counters["memory_a_member"] =
     static_cast<double>(held) / static_cast<double>(size.mHosts);
 }
-BENCHMARK(HeartbeatTaken)->Arg(10)->Arg(1000)->Arg(29000);
+BENCHMARK(HeartbeatAccepted)->Arg(10)->Arg(1000)->Arg(29000);
 
 void TickAtRest(benchmark::State& aState)
 {
@@ -176,7 +176,7 @@
     }
     BalancerMembershipOptions options;
     options.mMonitors.mCount = 3;
-    options.mTable.mSuspectAfter = std::chrono::hours(1);
+    options.mTable.mSuspectTimeout = std::chrono::hours(1);
     mNode = std::make_unique<BalancerMembership>(mList[0], kAllowAll, options,
                                                  1, mNow);
     Fill();
@@ -264,7 +264,7 @@
   void BeatHost(std::size_t aIndex)
   {
     MemberRecord& record = mHosts[aIndex];
-    ++record.mBeat;
+    ++record.mHeartbeatNumber;
     std::uint64_t hosts = mNode->Hosts().ServiceDigest(record.mMember.mService);
     std::uint64_t balancers =
       mNode->Balancers().ServiceDigest(BalancerService());
@@ -286,7 +286,7 @@
     }
     // Three balancers beat to this one, as it beats to three.
     for (int i = 1; i < std::min(4, mSize.mBalancers); ++i) {
-      ++mBalancers[i].mBeat;
+      ++mBalancers[i].mHeartbeatNumber;
       Give(Heartbeat{ MemberTableId::Balancers, mBalancers[i], 1, 0, 0 });
     }
   }
@@ -297,7 +297,7 @@
     MemberRecord& record = mHosts[aIndex];
     Change(aIndex, HostState::Leaving);
     ++record.mMember.mIncarnation;
-    record.mBeat = 0;
+    record.mHeartbeatNumber = 0;
     Change(aIndex, HostState::Cold);
     Change(aIndex, HostState::Serving);
   }
@@ -310,9 +310,10 @@
       BeatHost(aIndex);
       return;
     }
-    bool direct = mSize.mBalancers <= static_cast<int>(SpreadTree::kDirect);
+    bool direct =
+      mSize.mBalancers <= static_cast<int>(DisseminationTree::kMaxDirectPeers);
     auto tree = static_cast<std::uint8_t>(record.mMember.mHost.mValue %
-                                          SpreadTree::kTrees);
+                                          DisseminationTree::kTrees);
     Give(MemberDelta{
       MemberTableId::Hosts, 1, direct ? kNoTree : tree, false, { record } });
   }
--- a/bench/PassthroughBench.cpp
+++ b/bench/PassthroughBench.cpp
@@ -29,7 +29,7 @@
   void ToCaller(const Address&, ByteView) override {}
   void Steer(const Address&, const SteeredPacket&) override {}
   void Report(const Address&, const PlacementReport&) override {}
-  void Measured(HostTiming, Duration) override {}
+  void RecordDuration(HostTiming, Duration) override {}
 };
 
 const Address kService = *ParseAddress("198.18.0.1:443");
--- a/bench/RecordBench.cpp
+++ b/bench/RecordBench.cpp
@@ -166,9 +166,9 @@
         Call(aAgent, *call);
       } else if (const auto* granted = std::get_if<Granted>(&it)) {
         Run(aAgent, *granted);
-      } else if (const auto* asked = std::get_if<AskPeers>(&it)) {
+      } else if (const auto* asked = std::get_if<PeerQuery>(&it)) {
         After(milliseconds(3), [this, aAgent, key = asked->mKey] {
-          mAgents[aAgent]->OnPeers(key, {}, true, mNow);
+          mAgents[aAgent]->OnPeerReplies(key, {}, true, mNow);
           Act(aAgent);
         });
       } else if (const auto* refused = std::get_if<NotRun>(&it)) {
@@ -180,11 +180,12 @@
       }
     }
     for (const HomeMessage& it : mAgents[aAgent]->TakeHomeMessages()) {
-      if (const auto* asked = std::get_if<AskHome>(&it)) {
-        Carry(asked->mHome, [this, all = asked->mWishes](RunOnce& aHome) {
-          aHome.OnWishes(all, mNow);
-        });
-      } else if (const auto* told = std::get_if<TellAgent>(&it)) {
+      if (const auto* asked = std::get_if<SendToHome>(&it)) {
+        Carry(asked->mHome,
+              [this, all = asked->mPendingWrites](RunOnce& aHome) {
+                aHome.OnPendingWrites(all, mNow);
+              });
+      } else if (const auto* told = std::get_if<ReplyToAgent>(&it)) {
         Carry(told->mAgent, [this, tell = *told](RunOnce& aAgain) {
           aAgain.OnOutcomes(tell.mOutcomes, tell.mRetryAfter, mNow);
         });
@@ -216,8 +217,8 @@
     }
     mAgents[aAgent]->MayDispatch(aGranted.mKey, aGranted.mNonce, mNow);
     After(milliseconds(30), [this, aAgent, aGranted] {
-      mAgents[aAgent]->Answered(aGranted.mKey, aGranted.mNonce,
-                                std::string(200, 'a'), mNow);
+      mAgents[aAgent]->OnAnswered(aGranted.mKey, aGranted.mNonce,
+                                  std::string(200, 'a'), mNow);
       Act(aAgent);
     });
   }
@@ -349,7 +350,7 @@
   RunOnceOptions options;
   options.mGate.mWritesPerSecond = 1e9;
   options.mGate.mReadsPerSecond = 1e9;
-  options.mKeepEnded = {};
+  options.mEndedRetention = {};
   Time now = Time{} + std::chrono::hours(2);
   RunOnce once({ 1 }, 1, options, 1, now);
   std::map<std::string, std::uint64_t> versions;
@@ -358,7 +359,7 @@
     now += milliseconds(1);
     std::string key = "claim-" + std::to_string(++n);
     once.Request(n, key, now + seconds(1), now);
-    benchmark::DoNotOptimize(once.OnQuestion(key, 0, 0, now));
+    benchmark::DoNotOptimize(once.OnKeyQuery(key, 0, 0, now));
     once.Cancel(n, key, now);
     once.TakeActions();
   }
--- a/bench/SteerBench.cpp
+++ b/bench/SteerBench.cpp
@@ -137,7 +137,7 @@
 {
   OwnershipOptions options;
   options.mMaxFlows = kFlows;
-  options.mFlowIdle = 1h;
+  options.mFlowIdleTimeout = 1h;
   FirstRankPolicy policy;
   Time now = Time{} + 1h;
   auto members = TestMembers(1);
--- a/bench/load/LoadTables.cpp
+++ b/bench/load/LoadTables.cpp
@@ -104,9 +104,9 @@
     "checks" },
   { "standing queue", &AdmissionGuards::mStandingQueue, "saturation, 2x",
     "p50_ms", "checks" },
-  { "spread returns", &AdmissionGuards::mSpreadReturns, "retry storm",
+  { "spread returns", &AdmissionGuards::mSpreadRetryTimes, "retry storm",
     "attempts_each", "checks" },
-  { "hand-on hysteresis", &AdmissionGuards::mHandOnHysteresis, "cold start",
+  { "hand-on hysteresis", &AdmissionGuards::mForwardHysteresis, "cold start",
     "handed_on", "" },
 };
 
--- a/include/heatherplank/ObjectStore.h
+++ b/include/heatherplank/ObjectStore.h
@@ -102,7 +102,7 @@
 
   /** The newest store version that a response has reported; 0 if none has. Data
    * read as of this version was current when that response was sent. */
-  virtual std::uint64_t SeenVersion() const { return 0; }
+  virtual std::uint64_t LastSeenVersion() const { return 0; }
 };
 
 } // namespace heatherplank
--- a/lab/Fleet.cpp
+++ b/lab/Fleet.cpp
@@ -99,9 +99,9 @@
     settings["service"] = aNode.mService;
     settings["backend"] = aNode.mBackend.ToString();
     settings["slots"] = aNode.mSlots;
-    if (mVouchAfter) {
+    if (mConfirmAfter) {
       settings["vouch_after_ms"] =
-        std::chrono::duration_cast<std::chrono::milliseconds>(*mVouchAfter)
+        std::chrono::duration_cast<std::chrono::milliseconds>(*mConfirmAfter)
           .count();
     }
   }
--- a/lab/Fleet.h
+++ b/lab/Fleet.h
@@ -54,7 +54,7 @@
                 std::size_t aSlots);
 
   /** Agents get this for "vouch_after_ms" instead of the default. */
-  void SetVouchAfter(Duration aAge) { mVouchAfter = aAge; }
+  void SetConfirmAfter(Duration aAge) { mConfirmAfter = aAge; }
 
   /** The place of that name, or null. */
   Node* Find(std::string_view aName);
@@ -99,7 +99,7 @@
   std::string mFolder;
   std::string mBin;
   Address mPlatform;
-  std::optional<Duration> mVouchAfter;
+  std::optional<Duration> mConfirmAfter;
   Ports mPorts;
   std::map<std::string, Node> mNodes;
   std::vector<std::string> mCrashes;
--- a/lab/Scenario.cpp
+++ b/lab/Scenario.cpp
@@ -126,8 +126,8 @@
   Read(aReader, "duration_ms", aOut.mDuration);
   Read(aReader, "grace_ms", aOut.mGrace);
   if (aReader.Has("vouch_after_ms")) {
-    aOut.mVouchAfter = Duration::zero();
-    Read(aReader, "vouch_after_ms", *aOut.mVouchAfter);
+    aOut.mConfirmAfter = Duration::zero();
+    Read(aReader, "vouch_after_ms", *aOut.mConfirmAfter);
   }
   aOut.mBalancers = aReader.Strings("balancers");
   aOut.mSpare = aReader.Strings("spare");
--- a/lab/Scenario.h
+++ b/lab/Scenario.h
@@ -128,8 +128,8 @@
   std::vector<std::string> mSpare;
   /** Service to hosts kept of the base; all where absent. */
   std::map<std::string, std::size_t> mHosts;
-  /** Age from which agents vouch for keys; their default where absent. */
-  std::optional<Duration> mVouchAfter;
+  /** Age from which agents confirm keys; their default where absent. */
+  std::optional<Duration> mConfirmAfter;
   std::vector<LoadSpec> mLoad;
   FabricSpec mFabric;
   BackendSpec mBackend;
--- a/lab/World.cpp
+++ b/lab/World.cpp
@@ -50,8 +50,8 @@
     std::make_unique<Fabric>(mExecutor, mScenario.mFabric, mScenario.mSeed);
   mFleet =
     std::make_unique<Fleet>(mExecutor, mFolder, mBin, mPlatform->Local());
-  if (mScenario.mVouchAfter) {
-    mFleet->SetVouchAfter(*mScenario.mVouchAfter);
+  if (mScenario.mConfirmAfter) {
+    mFleet->SetConfirmAfter(*mScenario.mConfirmAfter);
   }
   for (std::size_t i = 0; i < mScenario.mBalancers.size(); ++i) {
     mFleet->AddBalancer("balancer-" + std::to_string(i + 1),
--- a/lab/flows/FlowFarm.cpp
+++ b/lab/flows/FlowFarm.cpp
@@ -81,9 +81,9 @@
 {
   auto slot = std::min_element(aHost.mSlots.begin(), aHost.mSlots.end());
   *slot = std::max(*slot, mNow) + aWork * aHost.mSlowness;
-  aHost.mServiceTime.Learn(InDuration(*slot - mNow),
-                           static_cast<std::uint32_t>(aHost.mEnds.size()),
-                           mSlots);
+  aHost.mServiceTime.RecordAnswer(
+    InDuration(*slot - mNow), static_cast<std::uint32_t>(aHost.mEnds.size()),
+    mSlots);
   aHost.mEnds.push_back(*slot);
   aHost.mWork += aWork;
   return *slot - mNow;
@@ -97,26 +97,26 @@
   FlowOffer offer;
   offer.mImportance = aClass.mImportance;
   offer.mLatencyTarget = InDuration(aClass.mTargetMs);
-  offer.mReturnsLater = aReturnsLater;
+  offer.mWillRetransmit = aReturnsLater;
   for (std::size_t i = 0; i < aCandidates.size(); ++i) {
     Machine& host = mHosts[aCandidates[i]];
-    host.mServiceTime.Expect(offer.mLatencyTarget, false);
+    host.mServiceTime.SetInitialEstimate(offer.mLatencyTarget, false);
     HostCondition condition = ConditionOf(host);
-    offer.mHasMore = i + 1 < aCandidates.size();
+    offer.mHasMoreCandidates = i + 1 < aCandidates.size();
     switch (admission.Decide(condition, offer)) {
-      case FlowDecision::Take:
+      case FlowDecision::Admit:
         return &host;
       case FlowDecision::Refuse:
         return nullptr;
-      case FlowDecision::ToBest: {
+      case FlowDecision::ForwardToBest: {
         FlowOffer last = offer;
-        last.mHasMore = last.mHasBest = false;
-        last.mMustTake = true;
+        last.mHasMoreCandidates = last.mHasBest = false;
+        last.mIsLastOffer = true;
         bool taken =
-          admission.Decide(ConditionOf(*best), last) == FlowDecision::Take;
+          admission.Decide(ConditionOf(*best), last) == FlowDecision::Admit;
         return taken ? best : nullptr;
       }
-      case FlowDecision::PassOn:
+      case FlowDecision::Forward:
         break;
     }
     Duration wait = FlowAdmission::WaitAt(condition);
@@ -220,7 +220,7 @@
       continue;
     }
     // Ours asks the hosts in the order of the ranks; the others believe them.
-    std::size_t reach = aPlacement == FlowPlacement::Walk ? kMostSearched : 1;
+    std::size_t reach = aPlacement == FlowPlacement::Walk ? kMaxSearched : 1;
     auto ranks = Ranks(it.mFlow, left);
     ranks.resize(std::min(ranks.size(), reach));
     lost += std::ranges::count(ranks, it.mHost) == 0 ? 1 : 0;
--- a/src/admin/AdminHandlers.cpp
+++ b/src/admin/AdminHandlers.cpp
@@ -279,7 +279,7 @@
   out["author"] = head.mAuthor;
   out["time_ms"] = head.mTimeMs;
   out["unchanged"] = done->mUnchanged;
-  out["rebased"] = done->mRebased;
+  out["rebased"] = done->mMerged;
   return MakeJsonResponse(aRequest, http::status::ok, out);
 }
 
--- a/src/agent/Agent.cpp
+++ b/src/agent/Agent.cpp
@@ -213,7 +213,8 @@
       mRuntime.Executor(), mSettings.mPlatform, StoreOptions());
     RunOnceOptions recording;
     recording.mPrefix = "grants/" + mSettings.mService;
-    recording.mVouchAfter = std::chrono::milliseconds(mSettings.mVouchAfterMs);
+    recording.mConfirmAfter =
+      std::chrono::milliseconds(mSettings.mConfirmAfterMs);
     mGrants = std::make_unique<RunOnceRecorder>(
       RunOnceRecorder::Parts{ mClock, mMetrics, mStore, *mTunnel, mLinks,
                               [this] { return View(); } },
@@ -294,7 +295,7 @@
     candidate.mLoad = aMember.mHost == mSelf.mHost
                         ? mPipeline->Load()
                         : mLoads.Find(aMember.mHost, aNow);
-    candidate.mWeight = mOutliers.IsOut(aMember.mHost, aNow)
+    candidate.mWeight = mOutliers.IsEjected(aMember.mHost, aNow)
                           ? 0
                           : mSlowStarts.Share(aMember.mHost, aNow);
     return candidate;
@@ -311,7 +312,7 @@
       auto load = DecodeLoad(frame->mPayload);
       if (load) {
         mLoads.OnLoad(*load, mClock.Now());
-        mOutliers.OnFigures(load->mHost, load->mLoad, mClock.Now());
+        mOutliers.OnLoadReport(load->mHost, load->mLoad, mClock.Now());
       } else {
         mMalformed.Add();
       }
@@ -346,7 +347,7 @@
     message.mIncarnation = mSelf.mIncarnation;
     message.mSequence = ++mLoadSequence;
     message.mLoad = mPipeline->Load();
-    mOutliers.OnFigures(mSelf.mHost, message.mLoad, mClock.Now());
+    mOutliers.OnLoadReport(mSelf.mHost, message.mLoad, mClock.Now());
     Bytes datagram = EncodeLoad(message);
     std::vector<Member> others;
     std::vector<Candidate> peers;
@@ -375,7 +376,7 @@
   {
     mStatus.Add(mMeter.Take());
     if (auto due = mStatus.Tick(mMembers.Balancers(), mClock.Now())) {
-      mLinks.Send(due->mKeeper.mControl, MessageKind::StatusReport,
+      mLinks.Send(due->mStoringBalancer.mControl, MessageKind::StatusReport,
                   EncodeStatusReport(due->mReport));
     }
   }
--- a/src/agent/FlowHandler.cpp
+++ b/src/agent/FlowHandler.cpp
@@ -392,7 +392,7 @@
     return totals[i] - mExported[i];
   };
   mParts.mMeter.OnFlows(increase(OwnershipCount::Adopted),
-                        increase(OwnershipCount::FlowsLetGo));
+                        increase(OwnershipCount::FlowsReleased));
   mExported = std::move(totals);
   mParts.mMetrics.GetGauge("flows_owned").Set(static_cast<double>(flows));
 }
--- a/src/agent/MemberFeed.cpp
+++ b/src/agent/MemberFeed.cpp
@@ -38,7 +38,7 @@
 {
   AgentMembershipOptions options;
   options.mSeeds = std::move(aSeeds);
-  options.mHeartbeatEvery = kHeartbeatInterval;
+  options.mHeartbeatInterval = kHeartbeatInterval;
   return options;
 }
 
@@ -79,7 +79,7 @@
   Flush();
 }
 
-void MemberFeed::BeginLife(HostState aState)
+void MemberFeed::BeginIncarnation(HostState aState)
 {
   {
     std::lock_guard lock(mLock);
--- a/src/agent/MemberFeed.h
+++ b/src/agent/MemberFeed.h
@@ -49,11 +49,11 @@
   void Announce();
 
   /** Announces another state at once. Ignored if the host is in that state or a
-   * later one; only BeginLife returns to an earlier state. */
+   * later one; only BeginIncarnation returns to an earlier state. */
   void SetState(HostState aState);
 
   /** Announces a new incarnation of the host, in aState. */
-  void BeginLife(HostState aState);
+  void BeginIncarnation(HostState aState);
 
   /** Announces how many requests the host runs concurrently. */
   void SetSlots(std::uint16_t aSlots);
--- a/src/agent/OutlierTracker.cpp
+++ b/src/agent/OutlierTracker.cpp
@@ -31,16 +31,17 @@
   mHosts = std::move(present);
 }
 
-void OutlierTracker::OnFigures(HostId aHost, const HostLoad& aLoad, Time aNow)
+void OutlierTracker::OnLoadReport(HostId aHost, const HostLoad& aLoad,
+                                  Time aNow)
 {
   std::lock_guard lock(mLock);
-  mDetector->OnFigures(aHost, aLoad, aNow);
+  mDetector->OnLoadReport(aHost, aLoad, aNow);
 }
 
-bool OutlierTracker::IsOut(HostId aHost, Time aNow) const
+bool OutlierTracker::IsEjected(HostId aHost, Time aNow) const
 {
   std::lock_guard lock(mLock);
-  return mDetector->IsOut(aHost, aNow);
+  return mDetector->IsEjected(aHost, aNow);
 }
 
 } // namespace heatherplank
--- a/src/agent/OutlierTracker.h
+++ b/src/agent/OutlierTracker.h
@@ -25,10 +25,10 @@
   void OnView(const ServiceView& aView);
 
   /** Records the reported load of a host, which may be this one. */
-  void OnFigures(HostId aHost, const HostLoad& aLoad, Time aNow);
+  void OnLoadReport(HostId aHost, const HostLoad& aLoad, Time aNow);
 
   /** True while the host should get no new flows. */
-  bool IsOut(HostId aHost, Time aNow) const;
+  bool IsEjected(HostId aHost, Time aNow) const;
 
 private:
   mutable std::mutex mLock;
--- a/src/agent/RequestDispatch.cpp
+++ b/src/agent/RequestDispatch.cpp
@@ -110,7 +110,7 @@
     std::lock_guard lock(mLock);
     // A recorded request would first have to release its grant. A retry by the
     // caller under the same key costs no more than that.
-    bool mayForward = advice.mPlace == RetryPlace::OtherHost &&
+    bool mayForward = advice.mTarget == RetryTarget::OtherHost &&
                       !aRequest->mRule.mNeverRepeat && !aRequest->mLent;
     other = mayForward ? LeastLoadedPeer() : HostId{};
     if (!other.IsNone() && !mRetries.TryRetry()) {
--- a/src/agent/RequestPipeline.cpp
+++ b/src/agent/RequestPipeline.cpp
@@ -259,10 +259,10 @@
         Remove(request->mId);
         Refuse(request, action.mReason, action.mRetryAfter);
         break;
-      case ActionKind::HandOn:
+      case ActionKind::Forward:
         Remove(request->mId);
         if (mParts.mOutput.OnForward(request, action.mTarget)) {
-          mRetried[static_cast<std::size_t>(action.mHandOnReason)]->Add();
+          mRetried[static_cast<std::size_t>(action.mForwardReason)]->Add();
         } else {
           Refuse(request, RefusalReason::NoHost, action.mRetryAfter);
         }
--- a/src/agent/RunOnceRecorder.cpp
+++ b/src/agent/RunOnceRecorder.cpp
@@ -96,8 +96,8 @@
     auto attempt = mAttempts.extract(aNonce);
     if (!attempt.empty()) {
       mOpenRequests.erase(attempt.mapped().mToken);
-      mRunOnce.Answered(attempt.mapped().mKey, aNonce, PackAnswer(aAnswer),
-                        mParts.mClock.Now());
+      mRunOnce.OnAnswered(attempt.mapped().mKey, aNonce, PackAnswer(aAnswer),
+                          mParts.mClock.Now());
     }
   });
 }
@@ -120,7 +120,7 @@
       return;
     }
     // No request ran under this nonce, and none will from now on.
-    mRunOnce.RefusedByServer(attempt.mKey, aNonce, mParts.mClock.Now());
+    mRunOnce.OnRefusedByServer(attempt.mKey, aNonce, mParts.mClock.Now());
     mOpenRequests.erase(attempt.mToken);
     mAttempts.erase(it);
     aEffects.mCallbacks.push_back(
@@ -134,7 +134,8 @@
     auto attempt = mAttempts.extract(aNonce);
     if (!attempt.empty()) {
       mOpenRequests.erase(attempt.mapped().mToken);
-      mRunOnce.LostSight(attempt.mapped().mKey, aNonce, mParts.mClock.Now());
+      mRunOnce.OnOutcomeUnknown(attempt.mapped().mKey, aNonce,
+                                mParts.mClock.Now());
     }
   });
 }
@@ -149,7 +150,8 @@
         ++it;
         continue;
       }
-      mRunOnce.OnPeers(it->second.mKey, it->second.mStrongest, false, now);
+      mRunOnce.OnPeerReplies(it->second.mKey, it->second.mStrongest, false,
+                             now);
       it = mPeerQueries.erase(it);
     }
   });
@@ -181,9 +183,9 @@
 bool RunOnceRecorder::OnFrame(const Frame& aFrame)
 {
   if (aFrame.mKind == MessageKind::ShardWishes) {
-    if (auto wishes = DecodeShardWishes(aFrame.mPayload)) {
+    if (auto writes = DecodePendingShardWrites(aFrame.mPayload)) {
       Apply([&](Effects&) {
-        mRunOnce.OnWishes(wishes->mWishes, mParts.mClock.Now());
+        mRunOnce.OnPendingWrites(writes->mPendingWrites, mParts.mClock.Now());
       });
       return true;
     }
@@ -214,13 +216,14 @@
   Apply([&](Effects&) { mRunOnce.SetHomes(hosts); });
 }
 
-void RunOnceRecorder::Send(const AskHome& aMessage)
+void RunOnceRecorder::Send(const SendToHome& aMessage)
 {
   SendTo(aMessage.mHome, MessageKind::ShardWishes,
-         EncodePayload(ShardWishes{ mSelf.mService, aMessage.mWishes }));
+         EncodePayload(
+           PendingShardWrites{ mSelf.mService, aMessage.mPendingWrites }));
 }
 
-void RunOnceRecorder::Send(const TellAgent& aMessage)
+void RunOnceRecorder::Send(const ReplyToAgent& aMessage)
 {
   SendTo(aMessage.mAgent, MessageKind::ShardOutcomes,
          EncodePayload(ShardOutcomes{ mSelf.mService, aMessage.mOutcomes,
@@ -243,7 +246,7 @@
   Apply([&](Effects& aEffects) {
     KeyAnswer answer{ aQuestion.mTicket, mSelf.mService, aQuestion.mKey, {} };
     answer.mReply =
-      mRunOnce.OnQuestion(aQuestion.mKey, aQuestion.mNonce,
+      mRunOnce.OnKeyQuery(aQuestion.mKey, aQuestion.mNonce,
                           aQuestion.mIncarnation, mParts.mClock.Now());
     aEffects.mDatagrams.emplace_back(
       aFrom, EncodeDatagram(MessageKind::KeyAnswer, EncodePayload(answer)));
@@ -256,16 +259,16 @@
     Time now = mParts.mClock.Now();
     auto it = mPeerQueries.find(aAnswer.mTicket);
     if (it == mPeerQueries.end()) {
-      mRunOnce.OnReply(aAnswer.mKey, aAnswer.mReply, now);
+      mRunOnce.OnHolderReply(aAnswer.mKey, aAnswer.mReply, now);
       return;
     }
-    PeerQuery& query = it->second;
+    PendingPeerQuery& query = it->second;
     if (Precedence(aAnswer.mReply.mKnowledge) >
         Precedence(query.mStrongest.mKnowledge)) {
       query.mStrongest = aAnswer.mReply;
     }
     if (--query.mPendingReplies == 0) {
-      mRunOnce.OnPeers(query.mKey, query.mStrongest, true, now);
+      mRunOnce.OnPeerReplies(query.mKey, query.mStrongest, true, now);
       mPeerQueries.erase(it);
     }
   });
@@ -336,7 +339,7 @@
   mAttempts[request.mNonce].mNotRun = std::move(aAnswer);
 }
 
-void RunOnceRecorder::Handle(const AskHolder& aAction, Effects& aEffects)
+void RunOnceRecorder::Handle(const HolderQuery& aAction, Effects& aEffects)
 {
   ServiceViewPtr view = mParts.mView();
   const Member* holder = view ? view->Find(aAction.mGrant.mHost) : nullptr;
@@ -350,14 +353,14 @@
     EncodeDatagram(MessageKind::KeyQuestion, EncodePayload(question)));
 }
 
-void RunOnceRecorder::Handle(const AskPeers& aAction, Effects& aEffects)
+void RunOnceRecorder::Handle(const PeerQuery& aAction, Effects& aEffects)
 {
   ServiceViewPtr view = mParts.mView();
   Time now = mParts.mClock.Now();
   std::uint64_t ticket = mNextTicket++;
-  PeerQuery query;
+  PendingPeerQuery query;
   query.mKey = aAction.mKey;
-  query.mDeadline = now + mOptions.mPeerWait;
+  query.mDeadline = now + mOptions.mPeerTimeout;
   KeyQuestion question{ ticket, mSelf.mService, aAction.mKey, 0, 0 };
   Bytes datagram =
     EncodeDatagram(MessageKind::KeyQuestion, EncodePayload(question));
@@ -371,7 +374,7 @@
   }
   if (query.mPendingReplies == 0) {
     // Only with a view is it known that there are no peers.
-    mRunOnce.OnPeers(aAction.mKey, {}, view != nullptr, now);
+    mRunOnce.OnPeerReplies(aAction.mKey, {}, view != nullptr, now);
     return;
   }
   mPeerQueries[ticket] = std::move(query);
--- a/src/agent/RunOnceRecorder.h
+++ b/src/agent/RunOnceRecorder.h
@@ -86,7 +86,7 @@
     std::optional<Answer> mNotRun;
   };
   /** A query about a key that was sent to all peers. */
-  struct PeerQuery
+  struct PendingPeerQuery
   {
     std::string mKey;
     std::size_t mPendingReplies = 0;
@@ -110,13 +110,13 @@
   void Handle(const Duplicate& aAction, Effects& aEffects);
   void Handle(const NotRun& aAction, Effects& aEffects);
   void Handle(const Unknown& aAction, Effects& aEffects);
-  void Handle(const AskHolder& aAction, Effects& aEffects);
-  void Handle(const AskPeers& aAction, Effects& aEffects);
+  void Handle(const HolderQuery& aAction, Effects& aEffects);
+  void Handle(const PeerQuery& aAction, Effects& aEffects);
   void Handle(const StoreCall& aAction, Effects& aEffects);
   void Resolve(RequestToken aToken, Answer aAnswer, Effects& aEffects);
   void Perform(Effects& aEffects);
-  void Send(const AskHome& aMessage);
-  void Send(const TellAgent& aMessage);
+  void Send(const SendToHome& aMessage);
+  void Send(const ReplyToAgent& aMessage);
   void SendTo(HostId aHost, MessageKind aKind, const Bytes& aPayload);
   void Send(const StoreCall& aCall);
   void OnKeyQuestion(const KeyQuestion& aQuestion, const Address& aFrom);
@@ -132,7 +132,7 @@
   std::uint64_t mNextTicket = 1;
   std::unordered_map<RequestToken, OpenRequest> mOpenRequests;
   std::unordered_map<Nonce, Attempt> mAttempts;
-  std::map<std::uint64_t, PeerQuery> mPeerQueries;
+  std::map<std::uint64_t, PendingPeerQuery> mPeerQueries;
   std::vector<std::uint64_t> mExported;
   std::uint64_t mExportedWrites = 0;
   std::uint64_t mExportedReads = 0;
--- a/src/balancer/Balancer.cpp
+++ b/src/balancer/Balancer.cpp
@@ -100,9 +100,9 @@
   StatusSender mStatus{ mSettings, "balancer" };
   std::unique_ptr<AdminApi> mApi;
   std::shared_ptr<DatagramSocket> mTunnel;
-  std::mutex mStatusBoardsLock;
-  /** Status boards that this balancer publishes, by key. */
-  std::map<std::string, std::shared_ptr<StatusPublisher>> mStatusBoards;
+  std::mutex mStatusAggregatorsLock;
+  /** Status aggregators of this balancer, by key. */
+  std::map<std::string, std::shared_ptr<StatusPublisher>> mStatusAggregators;
   std::atomic<bool> mStopping{ false };
 
   Result<void> Ready()
@@ -246,22 +246,22 @@
   }
 
   /** Sends this process's status to the balancer that publishes it, and writes
-   * the status boards of this balancer. */
+   * the status aggregators of this balancer. */
   void SendStatus()
   {
     std::vector<Member> balancers = mMembers.Balancers();
     balancers.push_back(mSelf);
     if (auto due = mStatus.Tick(balancers, mClock.Now())) {
-      if (due->mKeeper.mHost == mSelf.mHost) {
+      if (due->mStoringBalancer.mHost == mSelf.mHost) {
         RecordStatus(due->mReport);
       } else {
-        mLinks.Send(due->mKeeper.mControl, MessageKind::StatusReport,
+        mLinks.Send(due->mStoringBalancer.mControl, MessageKind::StatusReport,
                     EncodeStatusReport(due->mReport));
       }
     }
-    std::lock_guard lock(mStatusBoardsLock);
-    for (const auto& [key, board] : mStatusBoards) {
-      board->Tick(mClock.Now());
+    std::lock_guard lock(mStatusAggregatorsLock);
+    for (const auto& [key, aggregator] : mStatusAggregators) {
+      aggregator->Tick(mClock.Now());
     }
   }
 
@@ -270,16 +270,16 @@
     std::uint32_t shards = CountStatusShards(mMembers.Balancers().size() + 1);
     std::string key = StatusKey(aReport.mProcess.mDataCentre,
                                 StatusShardOf(aReport.mProcess.mName, shards));
-    std::lock_guard lock(mStatusBoardsLock);
-    auto& board = mStatusBoards[key];
-    if (!board) {
-      StatusBoard::Options options;
+    std::lock_guard lock(mStatusAggregatorsLock);
+    auto& aggregator = mStatusAggregators[key];
+    if (!aggregator) {
+      StatusAggregator::Options options;
       options.mKey = key;
       options.mWriter =
         mSettings.mName + "." + std::to_string(mSelf.mIncarnation);
-      board = StatusPublisher::Make(mStore, std::move(options));
+      aggregator = StatusPublisher::Make(mStore, std::move(options));
     }
-    board->OnReport(aReport);
+    aggregator->OnReport(aReport);
   }
 
   void Stop()
--- a/src/balancer/MemberPlane.cpp
+++ b/src/balancer/MemberPlane.cpp
@@ -46,11 +46,11 @@
   // Three heartbeats of an agent. Callers wait a second for an answer and must
   // be answered before that. A host is declared dead after 3 s, which is longer
   // than agents trust a view.
-  options.mTable.mSuspectAfter = std::chrono::milliseconds(900);
-  options.mTable.mRefuteWithin = std::chrono::milliseconds(2100);
+  options.mTable.mSuspectTimeout = std::chrono::milliseconds(900);
+  options.mTable.mRefutationTimeout = std::chrono::milliseconds(2100);
   // Ranks use the full weight, since a growing weight would move the arbiters
   // of flows during a host's start. Agents apply slow start instead.
-  options.mTable.mSlowStart = Duration::zero();
+  options.mTable.mSlowStartDuration = Duration::zero();
   return options;
 }
 
@@ -109,12 +109,12 @@
   mMembership.SetSeeds(std::move(aSeeds));
 }
 
-std::vector<Member> MemberPlane::AskSome(std::size_t aCount)
+std::vector<Member> MemberPlane::RequestHeartbeats(std::size_t aCount)
 {
   std::vector<Member> queried;
   {
     std::lock_guard lock(mLock);
-    queried = mMembership.AskSome(aCount, mParts.mClock.Now());
+    queried = mMembership.RequestHeartbeats(aCount, mParts.mClock.Now());
   }
   Flush();
   return queried;
@@ -185,10 +185,10 @@
   return mMembership.Hosts().Size();
 }
 
-std::size_t MemberPlane::Judged() const
+std::size_t MemberPlane::MonitoredCount() const
 {
   std::lock_guard lock(mLock);
-  return mMembership.Hosts().Judged();
+  return mMembership.Hosts().MonitoredCount();
 }
 
 } // namespace heatherplank
--- a/src/balancer/MemberPlane.h
+++ b/src/balancer/MemberPlane.h
@@ -55,7 +55,7 @@
 
   /** Requests heartbeats from up to aCount random hosts in view, and returns
    * those hosts. */
-  std::vector<Member> AskSome(std::size_t aCount);
+  std::vector<Member> RequestHeartbeats(std::size_t aCount);
 
   /** Notifies the peers that this balancer is stopping. */
   void Leave();
@@ -71,7 +71,7 @@
 
   /** Number of hosts in view whose heartbeats are due by now, so that their
    * absence counts. */
-  std::size_t Judged() const;
+  std::size_t MonitoredCount() const;
 
 private:
   class ConfiguredInventory;
--- a/src/balancer/PacketRouter.cpp
+++ b/src/balancer/PacketRouter.cpp
@@ -106,7 +106,7 @@
   const auto& suspects = route->second.mSuspects;
   if (std::find(suspects.begin(), suspects.end(), target.mMember->mHost) !=
       suspects.end()) {
-    return Refuse(aPacket, SteerRefusal::HostSilent);
+    return Refuse(aPacket, SteerRefusal::HostUnresponsive);
   }
   Packet packet = aPacket;
   packet.mService = route->second.mService;
--- a/src/cli/CommandContext.cpp
+++ b/src/cli/CommandContext.cpp
@@ -107,7 +107,7 @@
     out["author"] = head.mAuthor;
     out["time_ms"] = head.mTimeMs;
     out["unchanged"] = done->mUnchanged;
-    out["rebased"] = done->mRebased;
+    out["rebased"] = done->mMerged;
     std::cout << json::serialize(out) << "\n";
     return ExitCode::Ok;
   }
@@ -116,8 +116,7 @@
     return ExitCode::Ok;
   }
   std::cout << "Accepted: " << DescribeHead(head)
-            << (done->mRebased ? " (rebased onto a newer version)" : "")
-            << "\n";
+            << (done->mMerged ? " (rebased onto a newer version)" : "") << "\n";
   return ExitCode::Ok;
 }
 
--- a/src/cli/CommandLine.cpp
+++ b/src/cli/CommandLine.cpp
@@ -115,7 +115,7 @@
       }
     }
   }
-  auto events = TellFlow(lines, aArguments[0]);
+  auto events = CollectFlowEvents(lines, aArguments[0]);
   for (const LogLine& it : events) {
     std::printf("%s %s%s\n", it.mTime.c_str(), it.mFlow.empty() ? "  " : "* ",
                 it.mText.c_str());
--- a/src/config/ConfigurationStore.cpp
+++ b/src/config/ConfigurationStore.cpp
@@ -52,7 +52,7 @@
 Result<std::optional<StoredConfiguration>> ConfigurationStore::ReadHead()
 {
   const auto& limits = mStore->GetOptions();
-  Backoff backoff(limits.mFirstPause, limits.mLongestPause, limits.mSeed);
+  Backoff backoff(limits.mInitialBackoff, limits.mMaxBackoff, limits.mSeed);
   for (unsigned attempt = 1;; ++attempt) {
     auto object = mStore->Get(config_keys::kHead);
     bool absent = !object && object.error().mKind == ErrorKind::NotFound;
@@ -77,7 +77,7 @@
       return std::optional(
         StoredConfiguration{ std::move(*head), version, nullptr });
     }
-    if (attempt >= limits.mAttempts) {
+    if (attempt >= limits.mMaxAttempts) {
       return Fail(ErrorKind::Unavailable,
                   "the platform returned an older configuration than on a "
                   "previous read",
@@ -187,7 +187,7 @@
   const ConfigurationChange& aChange)
 {
   const auto& limits = mStore->GetOptions();
-  Backoff backoff(limits.mFirstPause, limits.mLongestPause, mRandom());
+  Backoff backoff(limits.mInitialBackoff, limits.mMaxBackoff, mRandom());
   for (unsigned attempt = 0; attempt < mOptions.mMaxAttempts; ++attempt) {
     auto current = Read();
     if (!current) {
@@ -219,7 +219,7 @@
   }
   std::uint64_t base = aChange.mBase ? aChange.mBase->mVersion : 0;
   AcceptedChange out;
-  out.mRebased = aCurrent.mHead.mVersion != base;
+  out.mMerged = aCurrent.mHead.mVersion != base;
   if (aCurrent.mConfiguration &&
       HasSameContent(*aCurrent.mConfiguration, **wanted)) {
     out.mStored = aCurrent;
@@ -292,7 +292,7 @@
                                                const std::string& aValue)
 {
   const auto& limits = mStore->GetOptions();
-  Backoff backoff(limits.mFirstPause, limits.mLongestPause, mRandom());
+  Backoff backoff(limits.mInitialBackoff, limits.mMaxBackoff, mRandom());
   for (unsigned attempt = 1;; ++attempt) {
     auto written = mStore->Put(aKey, aValue, WriteCondition::IfAbsent());
     if (written || written.error().mKind == ErrorKind::Conflict) {
@@ -301,7 +301,7 @@
     if (written.error().mKind != ErrorKind::Timeout) {
       return tl::unexpected(written.error());
     }
-    if (attempt >= limits.mAttempts) {
+    if (attempt >= limits.mMaxAttempts) {
       return Fail(ErrorKind::Unavailable,
                   "not applied: " + written.error().mMessage,
                   "apply again when the platform answers");
@@ -314,13 +314,13 @@
   const StoredConfiguration& aCurrent, StoredConfiguration& aNew)
 {
   const auto& limits = mStore->GetOptions();
-  Backoff backoff(limits.mFirstPause, limits.mLongestPause, mRandom());
+  Backoff backoff(limits.mInitialBackoff, limits.mMaxBackoff, mRandom());
   auto condition = aCurrent.mObjectVersion == 0
                      ? WriteCondition::IfAbsent()
                      : WriteCondition::IfVersion(aCurrent.mObjectVersion);
   std::string text = SerializeHead(aNew.mHead);
   bool mayBeWritten = false;
-  for (unsigned attempt = 0; attempt < limits.mAttempts; ++attempt) {
+  for (unsigned attempt = 0; attempt < limits.mMaxAttempts; ++attempt) {
     auto written = mStore->Put(config_keys::kHead, text, condition);
     if (written) {
       aNew.mObjectVersion = *written;
@@ -329,7 +329,7 @@
     }
     ErrorKind kind = written.error().mKind;
     mayBeWritten = mayBeWritten || kind == ErrorKind::Timeout;
-    if (!mOptions.mSettleLostAnswers ||
+    if (!mOptions.mResolveLostAnswers ||
         (kind == ErrorKind::Conflict && !mayBeWritten)) {
       return Outcome::LostRace;
     }
--- a/src/config/ConfigurationStore.h
+++ b/src/config/ConfigurationStore.h
@@ -40,7 +40,7 @@
   /** The wanted configuration was already in force; nothing was written. */
   bool mUnchanged = false;
   /** The change was merged with a newer version than its base. */
-  bool mRebased = false;
+  bool mMerged = false;
 };
 
 /** Reads configurations from the platform and commits changes to it.
@@ -64,7 +64,7 @@
      * read the parts of its head. */
     std::uint64_t mHistoryLength = 64;
     /** Guard: after a lost answer, reads the head and compares the nonce. */
-    bool mSettleLostAnswers = true;
+    bool mResolveLostAnswers = true;
     /** Guard: refuses a head that is older than one read before. */
     bool mRefuseStaleReads = true;
     /** Returns milliseconds since the Unix epoch; null: the system clock. */
--- a/src/decide/AdmissionOptions.h
+++ b/src/decide/AdmissionOptions.h
@@ -55,11 +55,11 @@
    * unreachable. */
   bool mProbe = true;
   /** Give refused callers different retry times. */
-  bool mSpreadReturns = true;
+  bool mSpreadRetryTimes = true;
   /** Shorten the tolerated wait while a queue does not empty. */
   bool mStandingQueue = true;
   /** Forward queued requests only for a clear gain, and only once. */
-  bool mHandOnHysteresis = true;
+  bool mForwardHysteresis = true;
 };
 
 /** Settings of the admission policy of one host. */
--- a/src/decide/AdmissionPolicy.h
+++ b/src/decide/AdmissionPolicy.h
@@ -27,7 +27,7 @@
   Refuse,
   /** Forward it to mTarget, which decides anew; the policy drops the request.
    */
-  HandOn,
+  Forward,
   /** Its deadline passed before the driver called the policy. Handled as
    * Refuse, but its caller has probably gone. */
   Expire,
@@ -40,11 +40,11 @@
   RequestId mId = 0;
   /** For Refuse and Expire. */
   RefusalReason mReason = RefusalReason::QueueFull;
-  /** For HandOn. */
-  RetryReason mHandOnReason = RetryReason::LessLoadedHost;
+  /** For Forward. */
+  RetryReason mForwardReason = RetryReason::LessLoadedHost;
   /** For Refuse and Expire: delay until the queue is expected to have room. */
   Duration mRetryAfter{};
-  /** For HandOn. */
+  /** For Forward. */
   HostId mTarget;
 };
 
@@ -54,7 +54,7 @@
  *
  * A driver passes events in the order in which they happen, with times that
  * never decrease, and performs the actions that each event appends to aOut, in
- * order. Each request ends in exactly one of: Refuse, Expire, HandOn, an
+ * order. Each request ends in exactly one of: Refuse, Expire, Forward, an
  * OnCancel that returns true, or Dispatch followed by OnDone. Performs no I/O,
  * takes no lock and reads no clock. Not thread safe.
  */
--- a/src/decide/ClassState.h
+++ b/src/decide/ClassState.h
@@ -6,7 +6,7 @@
 #include "include/heatherplank/Clock.h"
 #include "src/decide/AdmissionOptions.h"
 #include "src/decide/FairQueue.h"
-#include "src/decide/ReturnPlanner.h"
+#include "src/decide/RetryTimePlanner.h"
 #include "src/decide/ServiceTimes.h"
 
 namespace heatherplank {
@@ -18,7 +18,7 @@
 public:
   /** Precondition: aSeconds, the time constant, is above 0. */
   explicit SlotUse(double aSeconds)
-    : mWindow(aSeconds)
+    : mTimeConstant(aSeconds)
   {
   }
 
@@ -31,7 +31,7 @@
   }
 
   /** Average number of slots in use. */
-  double Slots(Time aNow) const { return SecondsAt(aNow) / mWindow; }
+  double Slots(Time aNow) const { return SecondsAt(aNow) / mTimeConstant; }
 
 private:
   double SecondsAt(Time aNow) const
@@ -40,10 +40,10 @@
       return 0;
     }
     const std::chrono::duration<double> since = aNow - mUpdatedAt;
-    return mSlotSeconds * std::exp(-since.count() / mWindow);
+    return mSlotSeconds * std::exp(-since.count() / mTimeConstant);
   }
 
-  double mWindow;
+  double mTimeConstant;
   double mSlotSeconds = 0;
   Time mUpdatedAt;
 };
@@ -56,7 +56,7 @@
     : mOptions(aOptions)
     , mQueue(aSeed, aGuards.mFairness)
     , mServiceTimes(aOptions.mDeadline)
-    , mReturnPlanner(aSeed, aGuards.mSpreadReturns)
+    , mRetryTimePlanner(aSeed, aGuards.mSpreadRetryTimes)
   {
   }
 
@@ -97,7 +97,7 @@
   ClassOptions mOptions;
   FairQueue mQueue;
   ServiceTimes mServiceTimes;
-  ReturnPlanner mReturnPlanner;
+  RetryTimePlanner mRetryTimePlanner;
   /** Slot use over one second (about twenty answers of typical services), for
    * work that waits less than that, and over ten seconds, for deferrable work,
    * which may wait through a burst.
--- a/src/decide/ForwardPlanner.cpp
+++ b/src/decide/ForwardPlanner.cpp
@@ -54,8 +54,9 @@
   return gain > minimum ? std::optional(peer->mHost) : std::nullopt;
 }
 
-std::optional<HostId> ForwardPlanner::FindAny(const Request& aRequest,
-                                              Duration aServiceTime, Time aNow)
+std::optional<HostId> ForwardPlanner::FindLeastLoaded(const Request& aRequest,
+                                                      Duration aServiceTime,
+                                                      Time aNow)
 {
   if (aRequest.mHops >= kMaxDrainForwards) {
     return std::nullopt;
--- a/src/decide/ForwardPlanner.h
+++ b/src/decide/ForwardPlanner.h
@@ -46,8 +46,8 @@
 
   /** The least loaded host that would answer in time, for a host that drains;
    * none if there is no such host. */
-  std::optional<HostId> FindAny(const Request& aRequest, Duration aServiceTime,
-                                Time aNow);
+  std::optional<HostId> FindLeastLoaded(const Request& aRequest,
+                                        Duration aServiceTime, Time aNow);
 
   /** How many queued requests a host with aLocalLoad (requests per slot) and
    * aSlots may forward now. */
--- a/src/decide/HostLoad.h
+++ b/src/decide/HostLoad.h
@@ -26,10 +26,10 @@
   Duration mServiceTime{};
   /** Moving share (0 to 1) of dispatched requests that failed or timed out. A
    * host that fails fast has short queues; by load alone it would look best. */
-  double mFailing = 0;
+  double mFailureRate = 0;
   /** Cumulative number of results that these values were computed from; an
    * unchanged number means that the values are unchanged. */
-  std::uint64_t mResults = 0;
+  std::uint64_t mResultCount = 0;
   /** Age of the values at the time they are read. */
   Duration mAge{};
 };
--- a/src/decide/OutlierDetector.cpp
+++ b/src/decide/OutlierDetector.cpp
@@ -22,7 +22,7 @@
 // requests.
 constexpr std::uint32_t kEjectionFailures = 5;
 constexpr std::uint32_t kEjectionFailuresWithHint = 3;
-// HostLoad::mFailing after five consecutive failures.
+// HostLoad::mFailureRate after five consecutive failures.
 constexpr double kFailureRateLimit = 0.48;
 // Ejection threshold as a multiple of the median host. Hosts with two slots and
 // uneven work differ by up to a factor of three without any fault.
@@ -36,7 +36,7 @@
   std::uint32_t mFailuresInARow = 0;
   std::uint32_t mAnswersInARow = 0;
   std::uint32_t mSamples = 0;
-  /** HostLoad::mResults of the load report that last ejected the host. */
+  /** HostLoad::mResultCount of the load report that last ejected the host. */
   std::uint64_t mResults = 0;
   double mFailing = 0;
   double mLatency = 0;
@@ -57,7 +57,7 @@
   void Add(HostId aHost) override { mRecords.try_emplace(aHost); }
   void Remove(HostId aHost) override { mRecords.erase(aHost); }
 
-  void OnHint(HostId aHost, bool aHealthy) override
+  void OnHealthHint(HostId aHost, bool aHealthy) override
   {
     mRecords[aHost].mUnhealthyHint = !aHealthy;
   }
@@ -72,26 +72,26 @@
     }
   }
 
-  void OnFigures(HostId aHost, const HostLoad& aLoad, Time aNow) override
+  void OnLoadReport(HostId aHost, const HostLoad& aLoad, Time aNow) override
   {
     Record& record = mRecords[aHost];
     // A load report from before the ejection would eject the host again. So
     // would an unchanged report after it, since the host got no work that could
     // improve its values.
     const bool isStale = aNow - aLoad.mAge < record.mEjectedUntil;
-    if (isStale || aLoad.mResults < record.mResults + kRecoveryAnswers) {
+    if (isStale || aLoad.mResultCount < record.mResults + kRecoveryAnswers) {
       return;
     }
-    record.mFailing = aLoad.mFailing;
+    record.mFailing = aLoad.mFailureRate;
     record.mLatency = static_cast<double>(aLoad.mServiceTime.count());
     record.mSamples = std::max(record.mSamples, kMinSamples);
-    if (IsOutlier(record) || aLoad.mFailing >= kFailureRateLimit) {
+    if (IsOutlier(record) || aLoad.mFailureRate >= kFailureRateLimit) {
       Eject(record, aNow);
-      record.mResults = aLoad.mResults;
+      record.mResults = aLoad.mResultCount;
     }
   }
 
-  bool IsOut(HostId aHost, Time aNow) const override
+  bool IsEjected(HostId aHost, Time aNow) const override
   {
     auto it = mRecords.find(aHost);
     return it != mRecords.end() && aNow < it->second.mEjectedUntil;
--- a/src/decide/OutlierDetector.h
+++ b/src/decide/OutlierDetector.h
@@ -45,13 +45,13 @@
    * Of the times in the report only the service time is used: mLatency
    * includes the queue, and at saturation the hosts with longer queues would
    * be ejected. */
-  virtual void OnFigures(HostId aHost, const HostLoad& aLoad, Time aNow) = 0;
+  virtual void OnLoadReport(HostId aHost, const HostLoad& aLoad, Time aNow) = 0;
 
   /** The health that the backend server's own endpoint reports. */
-  virtual void OnHint(HostId aHost, bool aHealthy) = 0;
+  virtual void OnHealthHint(HostId aHost, bool aHealthy) = 0;
 
   /** True while the host is ejected and should get no new work. */
-  virtual bool IsOut(HostId aHost, Time aNow) const = 0;
+  virtual bool IsEjected(HostId aHost, Time aNow) const = 0;
 };
 
 /** "consecutive": ejects after five failures in a row, regardless of other
--- a/src/decide/ReservationAdmission.cpp
+++ b/src/decide/ReservationAdmission.cpp
@@ -13,7 +13,7 @@
 // Pauses after a backend server shed a request: from about one service time up
 // to the time a server needs to recover from garbage collection or a cache
 // refill.
-constexpr Duration kFirstPause = 10ms;
+constexpr Duration kInitialBackoff = 10ms;
 constexpr std::uint32_t kMaxDoublings = 6;
 // Weight of one answer in the moving averages that are reported to other hosts.
 constexpr int kLatencyDivisor = 8;
@@ -28,7 +28,7 @@
 ReservationAdmission::ReservationAdmission(const AdmissionOptions& aOptions)
   : mOptions(aOptions)
   , mSlots(aOptions.mSlots)
-  , mForwardPlanner(aOptions.mGuards.mHandOnHysteresis)
+  , mForwardPlanner(aOptions.mGuards.mForwardHysteresis)
 {
   std::uint64_t seed = aOptions.mSeed;
   for (const auto& it : mOptions.mClasses) {
@@ -174,8 +174,8 @@
   load.mSlots = mSlots;
   load.mLatency = mLatency;
   load.mServiceTime = mServiceTime;
-  load.mFailing = mFailing;
-  load.mResults = mResults;
+  load.mFailureRate = mFailing;
+  load.mResultCount = mResults;
   return load;
 }
 
@@ -308,7 +308,7 @@
 void ReservationAdmission::Pause(Time aNow)
 {
   const std::uint32_t doublings = std::min(mPausesInARow, kMaxDoublings);
-  mPausedUntil = aNow + kFirstPause * (1U << doublings);
+  mPausedUntil = aNow + kInitialBackoff * (1U << doublings);
   ++mPausesInARow;
 }
 
--- a/src/decide/ReservationEvaluation.cpp
+++ b/src/decide/ReservationEvaluation.cpp
@@ -11,7 +11,7 @@
 
 // A caller may queue at most twice the room that is left: a single busy caller
 // gets two thirds of the queue, and there is always room for another caller.
-constexpr std::uint32_t kCallerShare = 2;
+constexpr std::uint32_t kCallerRoomFactor = 2;
 // Divides the tolerated wait once a queue has not been empty for a whole
 // deadline. A burst that can be served in time has drained by then; a queue
 // that persists holds more than the slots can serve, and a longer queue would
@@ -59,7 +59,8 @@
   if (size >= limit) {
     return RefusalReason::QueueFull;
   }
-  const std::uint32_t callerLimit = std::max(1U, kCallerShare * (limit - size));
+  const std::uint32_t callerLimit =
+    std::max(1U, kCallerRoomFactor * (limit - size));
   if (mOptions.mGuards.mFairness &&
       state.mQueue.Depth(aRequest.mCaller) >= callerLimit) {
     return RefusalReason::OverShare;
--- a/src/decide/ReservationRefusal.cpp
+++ b/src/decide/ReservationRefusal.cpp
@@ -92,7 +92,7 @@
 {
   const Duration run = ClassOf(aRequest).mServiceTimes.Mean(aRequest.mSize);
   if (mDraining) {
-    if (auto to = mForwardPlanner.FindAny(aRequest, run, aNow)) {
+    if (auto to = mForwardPlanner.FindLeastLoaded(aRequest, run, aNow)) {
       Forward(aRequest.mId, *to, RetryReason::Draining, aOut);
       return;
     }
@@ -129,7 +129,7 @@
                      ? RefusalReason::DeadlinePassed
                      : aReason;
   action.mRetryAfter =
-    state.mReturnPlanner.Next(aNow, wait - acceptable, interval);
+    state.mRetryTimePlanner.NextWait(aNow, wait - acceptable, interval);
   aOut.push_back(action);
 }
 
@@ -138,9 +138,9 @@
 {
   mForwardPlanner.RecordForward(aTarget);
   Action action;
-  action.mKind = ActionKind::HandOn;
+  action.mKind = ActionKind::Forward;
   action.mId = aId;
-  action.mHandOnReason = aReason;
+  action.mForwardReason = aReason;
   action.mTarget = aTarget;
   aOut.push_back(action);
 }
--- a/src/decide/Retry.cpp
+++ b/src/decide/Retry.cpp
@@ -15,12 +15,12 @@
 
 constexpr RetryAdvice RetryElsewhere(RetryReason aReason)
 {
-  return { RetryPlace::OtherHost, aReason, ExecutionStatus::NotRun };
+  return { RetryTarget::OtherHost, aReason, ExecutionStatus::NotRun };
 }
 
 constexpr RetryAdvice NoRetry(ExecutionStatus aStatus)
 {
-  return { RetryPlace::Nowhere, RetryReason::Lost, aStatus };
+  return { RetryTarget::None, RetryReason::Lost, aStatus };
 }
 
 // In the order of AttemptEnd.
@@ -33,7 +33,7 @@
     RetryElsewhere(RetryReason::Draining) },
   { NoRetry(ExecutionStatus::NotRun), NoRetry(ExecutionStatus::NotRun) },
   { NoRetry(ExecutionStatus::NotRun), NoRetry(ExecutionStatus::NotRun) },
-  { { RetryPlace::OtherHost, RetryReason::Lost, ExecutionStatus::Unknown },
+  { { RetryTarget::OtherHost, RetryReason::Lost, ExecutionStatus::Unknown },
     NoRetry(ExecutionStatus::Unknown) },
   { NoRetry(ExecutionStatus::Unknown), NoRetry(ExecutionStatus::Unknown) },
 } };
--- a/src/decide/Retry.h
+++ b/src/decide/Retry.h
@@ -28,9 +28,9 @@
 constexpr std::size_t kAttemptEnds = 7;
 
 /** Where a request may be retried. */
-enum class RetryPlace : std::uint8_t
+enum class RetryTarget : std::uint8_t
 {
-  Nowhere,
+  None,
   OtherHost,
 };
 
@@ -45,7 +45,7 @@
 /** What to do after a failed attempt. */
 struct RetryAdvice
 {
-  RetryPlace mPlace = RetryPlace::Nowhere;
+  RetryTarget mTarget = RetryTarget::None;
   /** The reason to count if the request is retried. */
   RetryReason mReason = RetryReason::Lost;
   ExecutionStatus mStatus = ExecutionStatus::NotRun;
--- a/src/decide/ReturnPlanner.cpp
+++ b/src/decide/RetryTimePlanner.cpp
@@ -1,4 +1,4 @@
-#include "src/decide/ReturnPlanner.h"
+#include "src/decide/RetryTimePlanner.h"
 
 #include <algorithm>
 #include <chrono>
@@ -15,13 +15,14 @@
 
 } // namespace
 
-ReturnPlanner::ReturnPlanner(std::uint64_t aSeed, bool aSpread)
+RetryTimePlanner::RetryTimePlanner(std::uint64_t aSeed, bool aSpread)
   : mRng(aSeed)
   , mSpread(aSpread)
 {
 }
 
-Duration ReturnPlanner::Next(Time aNow, Duration aRoomIn, Duration aInterval)
+Duration RetryTimePlanner::NextWait(Time aNow, Duration aRoomIn,
+                                    Duration aInterval)
 {
   const Duration roomIn = std::clamp(aRoomIn, kMinWait, kMaxWait);
   if (!mSpread) {
--- a/src/decide/ReturnPlanner.h
+++ b/src/decide/RetryTimePlanner.h
@@ -24,16 +24,16 @@
  *
  * Not thread safe.
  */
-class ReturnPlanner
+class RetryTimePlanner
 {
 public:
   /** With aSpread false, every caller is given the time at which the queue
    * first has room. */
-  ReturnPlanner(std::uint64_t aSeed, bool aSpread);
+  RetryTimePlanner(std::uint64_t aSeed, bool aSpread);
 
   /** The wait for a caller refused at aNow, if there is room after aRoomIn and
    * one request is served every aInterval. Not negative. */
-  Duration Next(Time aNow, Duration aRoomIn, Duration aInterval);
+  Duration NextWait(Time aNow, Duration aRoomIn, Duration aInterval);
 
 private:
   std::mt19937_64 mRng;
--- a/src/decide/SlowStart.cpp
+++ b/src/decide/SlowStart.cpp
@@ -25,7 +25,7 @@
 public:
   void OnStart(HostId aHost, Time aNow) override { mStarts[aHost] = aNow; }
   void OnAnswer(HostId /*aHost*/) override {}
-  void Forget(HostId aHost) override { mStarts.erase(aHost); }
+  void Remove(HostId aHost) override { mStarts.erase(aHost); }
 
   double Weight(HostId aHost, Time aNow) const override
   {
@@ -45,7 +45,7 @@
 {
 public:
   void OnStart(HostId aHost, Time /*aNow*/) override { mAnswers[aHost] = 0; }
-  void Forget(HostId aHost) override { mAnswers.erase(aHost); }
+  void Remove(HostId aHost) override { mAnswers.erase(aHost); }
 
   void OnAnswer(HostId aHost) override
   {
--- a/src/decide/SlowStart.h
+++ b/src/decide/SlowStart.h
@@ -29,7 +29,7 @@
   /** The host answered a request. */
   virtual void OnAnswer(HostId aHost) = 0;
   /** The host was removed. */
-  virtual void Forget(HostId aHost) = 0;
+  virtual void Remove(HostId aHost) = 0;
   /** The value of Candidate::mWeight, above 0 and up to 1; 1 if no start of the
    * host was observed. */
   virtual double Weight(HostId aHost, Time aNow) const = 0;
--- a/src/explain/FlowStory.cpp
+++ b/src/explain/FlowStory.cpp
@@ -58,8 +58,8 @@
   return IsTime(aOut.mTime) && !aOut.mEvent.empty();
 }
 
-std::vector<LogLine> TellFlow(std::span<const LogLine> aLines,
-                              std::string_view aFlow)
+std::vector<LogLine> CollectFlowEvents(std::span<const LogLine> aLines,
+                                       std::string_view aFlow)
 {
   double first = 0;
   double last = -1;
--- a/src/explain/FlowStory.h
+++ b/src/explain/FlowStory.h
@@ -26,7 +26,7 @@
  * Events that concern no flow are included from 5 seconds before the flow's
  * first event to its last. Clocks of different machines differ by some
  * milliseconds, so neighbouring lines may be out of order. Thread safe. */
-std::vector<LogLine> TellFlow(std::span<const LogLine> aLines,
-                              std::string_view aFlow);
+std::vector<LogLine> CollectFlowEvents(std::span<const LogLine> aLines,
+                                       std::string_view aFlow);
 
 } // namespace heatherplank
--- a/src/membership/AgentMembership.cpp
+++ b/src/membership/AgentMembership.cpp
@@ -74,7 +74,7 @@
   mPeers.OnTick(aNow);
   mBalancers.OnTick(aNow);
   Duration interval = IsDiscovering(aNow) ? mOptions.mDiscoveryInterval
-                                          : mOptions.mHeartbeatEvery;
+                                          : mOptions.mHeartbeatInterval;
   if (aNow - mHeartbeatAt >= interval) {
     SendHeartbeats(aNow);
   }
@@ -139,7 +139,7 @@
   Heartbeat heartbeat;
   heartbeat.mRecord.mMember = mSelf;
   heartbeat.mRecord.mRevision = mRevision;
-  heartbeat.mRecord.mBeat = ++mHeartbeatNumber;
+  heartbeat.mRecord.mHeartbeatNumber = ++mHeartbeatNumber;
   heartbeat.mRecord.mAge = aNow - mServingSince;
   heartbeat.mVersion = mPeers.Version();
   mPeers.OnHeartbeat(heartbeat, aNow);
@@ -191,11 +191,11 @@
   if (delta == nullptr) {
     return;
   }
-  std::uint32_t age = mHeartbeatNumber - delta->mAnswersBeat;
-  if (delta->mAnswersBeat != 0 && age < kMaxTrackedHeartbeats) {
-    mConfirmedAt =
-      std::max(mConfirmedAt,
-               mHeartbeatSentAt[delta->mAnswersBeat % kMaxTrackedHeartbeats]);
+  std::uint32_t age = mHeartbeatNumber - delta->mAnswersHeartbeat;
+  if (delta->mAnswersHeartbeat != 0 && age < kMaxTrackedHeartbeats) {
+    mConfirmedAt = std::max(
+      mConfirmedAt,
+      mHeartbeatSentAt[delta->mAnswersHeartbeat % kMaxTrackedHeartbeats]);
   }
   bool isHosts = delta->mTable == MemberTableId::Hosts;
   MemberTable& table = isHosts ? mPeers : mBalancers;
@@ -211,7 +211,7 @@
     AnnounceToNewMonitors(aNow);
   }
   // See BalancerMembership::RequestHeartbeatsFromSuspects.
-  if (delta->mAsks && !delta->mRecords.empty()) {
+  if (delta->mRequestsHeartbeat && !delta->mRecords.empty()) {
     mActions.push_back(
       { delta->mRecords.front().mMember.mControl, MakeHeartbeat(aNow) });
   }
--- a/src/membership/AgentMembership.h
+++ b/src/membership/AgentMembership.h
@@ -17,7 +17,7 @@
 {
   /** Control addresses of the first balancers to contact, from the settings. */
   std::vector<Address> mSeeds;
-  Duration mHeartbeatEvery = std::chrono::milliseconds(500);
+  Duration mHeartbeatInterval = std::chrono::milliseconds(500);
   /** Heartbeat interval until a balancer answers or mDiscoveryTimeout passes.
    *
    * Guards against: many machines restart at once, and an agent starts before
--- a/src/membership/BalancerMembership.cpp
+++ b/src/membership/BalancerMembership.cpp
@@ -120,13 +120,13 @@
 {
   MemberDelta answer;
   answer.mVersion = mHosts.Version();
-  answer.mAnswersBeat = aHeartbeat.mRecord.mBeat;
+  answer.mAnswersHeartbeat = aHeartbeat.mRecord.mHeartbeatNumber;
   Send(aHeartbeat.mRecord.mMember.mControl, answer);
 }
 
 void BalancerMembership::On(const MemberDelta& aDelta, Time aNow)
 {
-  if (aDelta.mAsks && !aDelta.mRecords.empty()) {
+  if (aDelta.mRequestsHeartbeat && !aDelta.mRecords.empty()) {
     Send(aDelta.mRecords.front().mMember.mControl, MakeHeartbeat());
   }
   std::vector<MemberRecord> changed =
@@ -153,7 +153,7 @@
       aNow - mHeartbeatAt >= mOptions.mDiscoveryInterval) {
     SendHeartbeats(aNow);
   }
-  if (aNow - mHeartbeatAt >= mOptions.mHeartbeatEvery) {
+  if (aNow - mHeartbeatAt >= mOptions.mHeartbeatInterval) {
     SendHeartbeats(aNow);
     RequestHeartbeatsFromSuspects(mHosts, aNow);
     RequestHeartbeatsFromSuspects(mBalancers, aNow);
@@ -192,7 +192,7 @@
   Heartbeat heartbeat;
   heartbeat.mTable = MemberTableId::Balancers;
   heartbeat.mRecord.mMember = mSelf;
-  heartbeat.mRecord.mBeat = ++mHeartbeatNumber;
+  heartbeat.mRecord.mHeartbeatNumber = ++mHeartbeatNumber;
   heartbeat.mRecord.mAge = std::chrono::hours(1);
   heartbeat.mVersion = mHosts.Version();
   return heartbeat;
@@ -262,7 +262,7 @@
 {
   std::size_t limit = mBudget.Available(aNow) / kRecordBytes;
   std::map<std::uint8_t, MemberDelta> byTree;
-  for (const MemberRecord& it : aTable.TakeChanges(limit, aNow)) {
+  for (const MemberRecord& it : aTable.TakePeerChanges(limit, aNow)) {
     std::uint8_t tree = mTree.TreeOf(it.mMember.mHost);
     MemberDelta& delta = byTree[tree];
     delta.mTable =
@@ -288,7 +288,7 @@
 void BalancerMembership::NotifyAgents(Time aNow)
 {
   std::map<ServiceId, MemberDelta> byService;
-  for (const MemberRecord& it : mHosts.TakeNews(aNow)) {
+  for (const MemberRecord& it : mHosts.TakeViewChanges(aNow)) {
     MemberDelta& delta = byService[it.mMember.mService];
     delta.mVersion = mHosts.Version();
     delta.mRecords.push_back(it);
@@ -296,7 +296,7 @@
   MemberDelta balancers;
   balancers.mTable = MemberTableId::Balancers;
   balancers.mVersion = mBalancers.Version();
-  balancers.mRecords = mBalancers.TakeNews(aNow);
+  balancers.mRecords = mBalancers.TakeViewChanges(aNow);
   for (auto it = mAgents.begin(); it != mAgents.end();) {
     const Agent& agent = it->second;
     if (aNow - agent.mLastHeartbeatAt > kAgentTimeout) {
--- a/src/membership/BalancerMembership.h
+++ b/src/membership/BalancerMembership.h
@@ -11,10 +11,10 @@
 #include "include/heatherplank/Clock.h"
 #include "include/heatherplank/Member.h"
 #include "src/membership/ByteBudget.h"
+#include "src/membership/DisseminationTree.h"
 #include "src/membership/MemberTable.h"
 #include "src/membership/MembershipActions.h"
 #include "src/membership/Monitors.h"
-#include "src/membership/SpreadTree.h"
 
 namespace heatherplank {
 
@@ -37,7 +37,7 @@
   MemberTableOptions mTable;
   /** Control addresses of the first balancers to contact, from the settings. */
   std::vector<Address> mSeeds;
-  Duration mHeartbeatEvery = std::chrono::milliseconds(500);
+  Duration mHeartbeatInterval = std::chrono::milliseconds(500);
   /** Interval of heartbeats to the seeds while no other balancer is known, for
    * up to mDiscoveryTimeout: see AgentMembershipOptions::mDiscoveryInterval. */
   Duration mDiscoveryInterval = std::chrono::milliseconds(50);
@@ -86,7 +86,7 @@
   void SetSeeds(std::vector<Address> aSeeds);
   /** Requests heartbeats to this balancer from up to aCount randomly chosen
    * hosts in view, which are returned. */
-  std::vector<Member> AskSome(std::size_t aCount, Time aNow);
+  std::vector<Member> RequestHeartbeats(std::size_t aCount, Time aNow);
   /** Announces to the peers that this balancer is stopping. */
   void Leave(Time aNow);
 
@@ -153,7 +153,7 @@
   MemberTable mHosts;
   MemberTable mBalancers;
   std::mt19937_64 mRandom;
-  SpreadTree mTree;
+  DisseminationTree mTree;
   ByteBudget mBudget;
   ByteBudget mSnapshotBudget;
   std::map<HostId, Agent> mAgents;
--- a/src/membership/BalancerRepair.cpp
+++ b/src/membership/BalancerRepair.cpp
@@ -24,7 +24,8 @@
   RequestHeartbeats(aTable.Suspected(kMaxHeartbeatRequests), aNow);
 }
 
-std::vector<Member> BalancerMembership::AskSome(std::size_t aCount, Time aNow)
+std::vector<Member> BalancerMembership::RequestHeartbeats(std::size_t aCount,
+                                                          Time aNow)
 {
   auto sample = mHosts.Sample(aCount, mRandom);
   RequestHeartbeats(sample, aNow);
@@ -42,7 +43,7 @@
   request.mTable = MemberTableId::Balancers;
   request.mVersion = mBalancers.Version();
   request.mRecords.push_back(*self);
-  request.mAsks = true;
+  request.mRequestsHeartbeat = true;
   for (const Member& it : aMembers) {
     mBudget.Take(EncodedBytes(request));
     Send(it.mControl, request);
--- a/src/membership/SpreadTree.cpp
+++ b/src/membership/DisseminationTree.cpp
@@ -1,10 +1,11 @@
-#include "src/membership/SpreadTree.h"
+#include "src/membership/DisseminationTree.h"
 
 #include <algorithm>
 
 namespace heatherplank {
 
-void SpreadTree::SetBalancers(HostId aSelf, std::span<const Member> aBalancers)
+void DisseminationTree::SetBalancers(HostId aSelf,
+                                     std::span<const Member> aBalancers)
 {
   mPeerAddresses.clear();
   mTrees.clear();
@@ -13,14 +14,14 @@
       mPeerAddresses.push_back(it.mControl);
     }
   }
-  mIsDirect = mPeerAddresses.size() <= kDirect;
+  mIsDirect = mPeerAddresses.size() <= kMaxDirectPeers;
   for (std::uint8_t i = 0; i < kTrees && !mIsDirect; ++i) {
     mTrees.push_back(MakeTree(i, aSelf, aBalancers));
   }
 }
 
-SpreadTree::Tree SpreadTree::MakeTree(std::uint8_t aTree, HostId aSelf,
-                                      std::span<const Member> aBalancers) const
+DisseminationTree::Tree DisseminationTree::MakeTree(
+  std::uint8_t aTree, HostId aSelf, std::span<const Member> aBalancers) const
 {
   std::vector<const Member*> order;
   for (const Member& it : aBalancers) {
@@ -46,18 +47,20 @@
   return tree;
 }
 
-std::uint8_t SpreadTree::TreeOf(HostId aHost) const
+std::uint8_t DisseminationTree::TreeOf(HostId aHost) const
 {
   return mIsDirect ? kNoTree : static_cast<std::uint8_t>(aHost.mValue % kTrees);
 }
 
-const std::vector<Address>& SpreadTree::FirstHops(std::uint8_t aTree) const
+const std::vector<Address>& DisseminationTree::FirstHops(
+  std::uint8_t aTree) const
 {
   return mIsDirect || aTree >= mTrees.size() ? mPeerAddresses
                                              : mTrees[aTree].mFirstHops;
 }
 
-const std::vector<Address>& SpreadTree::NextHops(std::uint8_t aTree) const
+const std::vector<Address>& DisseminationTree::NextHops(
+  std::uint8_t aTree) const
 {
   static const std::vector<Address> kNone;
   return aTree >= mTrees.size() ? kNone : mTrees[aTree].mNextHops;
--- a/src/membership/SpreadTree.h
+++ b/src/membership/DisseminationTree.h
@@ -18,13 +18,13 @@
  * lists differ a record may not reach a balancer, which digests repair. Not
  * thread safe.
  */
-class SpreadTree
+class DisseminationTree
 {
 public:
   static constexpr std::uint8_t kTrees = 16;
   static constexpr std::size_t kFanOut = 4;
   /** Changes are sent directly if there are at most this many others. */
-  static constexpr std::size_t kDirect = 16;
+  static constexpr std::size_t kMaxDirectPeers = 16;
 
   /** Replaces the list of balancers, which may contain aSelf. */
   void SetBalancers(HostId aSelf, std::span<const Member> aBalancers);
--- a/src/membership/MemberRecord.cpp
+++ b/src/membership/MemberRecord.cpp
@@ -24,7 +24,7 @@
 
 auto VerdictRank(const MemberRecord& aRecord)
 {
-  return std::tie(aRecord.mBeat, aRecord.mVerdict);
+  return std::tie(aRecord.mHeartbeatNumber, aRecord.mVerdict);
 }
 
 } // namespace
@@ -52,7 +52,7 @@
   }
   if (VerdictRank(aFrom) > VerdictRank(aInto)) {
     changed = changed || aFrom.mVerdict != aInto.mVerdict;
-    aInto.mBeat = aFrom.mBeat;
+    aInto.mHeartbeatNumber = aFrom.mHeartbeatNumber;
     aInto.mVerdict = aFrom.mVerdict;
   }
   return changed;
--- a/src/membership/MemberRecord.h
+++ b/src/membership/MemberRecord.h
@@ -40,8 +40,8 @@
   std::uint32_t mRevision = 0;
   /** Number of the latest known heartbeat, assigned by the host. Used instead
    * of a time, since the clocks of two machines can't be compared. */
-  std::uint32_t mBeat = 0;
-  /** The conclusion drawn from missing heartbeats after mBeat. */
+  std::uint32_t mHeartbeatNumber = 0;
+  /** The conclusion drawn from missing heartbeats after mHeartbeatNumber. */
   Verdict mVerdict = Verdict::Alive;
   /** How long the host had served at sending, by its own clock. */
   Duration mAge{};
@@ -90,10 +90,10 @@
   std::vector<MemberRecord> mRecords;
   /** In the answer to a heartbeat, the number of that heartbeat, from which its
    * sender finds when it was sent; 0 in an unsolicited delta. */
-  std::uint32_t mAnswersBeat = 0;
+  std::uint32_t mAnswersHeartbeat = 0;
   /** Requests a heartbeat from the receiver. The sender's record is then the
    * only one. */
-  bool mAsks = false;
+  bool mRequestsHeartbeat = false;
 };
 
 struct MemberDigest
--- a/src/membership/MemberTable.cpp
+++ b/src/membership/MemberTable.cpp
@@ -8,7 +8,7 @@
 std::string_view ToString(MemberEvent aEvent)
 {
   switch (aEvent) {
-    case MemberEvent::HeartbeatTaken:
+    case MemberEvent::HeartbeatAccepted:
       return "heartbeat_taken";
     case MemberEvent::HeartbeatStale:
       return "heartbeat_stale";
@@ -75,8 +75,9 @@
     current != nullptr &&
     (current->mRecord.mMember.mIncarnation > record.mMember.mIncarnation ||
      (current->mRecord.mMember.mIncarnation == record.mMember.mIncarnation &&
-      current->mRecord.mBeat >= record.mBeat));
-  CountEvent(stale ? MemberEvent::HeartbeatStale : MemberEvent::HeartbeatTaken);
+      current->mRecord.mHeartbeatNumber >= record.mHeartbeatNumber));
+  CountEvent(stale ? MemberEvent::HeartbeatStale
+                   : MemberEvent::HeartbeatAccepted);
   bool changed = Merge(record, aNow);
   MemberEntry& entry = *Find(record.mMember.mHost);
   if (!entry.mSendsHeartbeatsHere && !entry.IsGone()) {
@@ -199,7 +200,8 @@
     mUncommittedServices.push_back(before.mMember.mService);
     mServices[current.mService].mEntries[current.mHost] = &aEntry;
   }
-  bool newHeartbeat = restarted || aEntry.mRecord.mBeat != before.mBeat;
+  bool newHeartbeat =
+    restarted || aEntry.mRecord.mHeartbeatNumber != before.mHeartbeatNumber;
   if (newHeartbeat || current.mState != before.mMember.mState ||
       aEntry.IsGone()) {
     UpdateLists(aEntry, aNow);
@@ -240,7 +242,7 @@
   bool sameIncarnation =
     aFrom.mMember.mIncarnation == current.mMember.mIncarnation;
   if (sameIncarnation && aFrom.mVerdict > current.mVerdict &&
-      aFrom.mBeat < current.mBeat) {
+      aFrom.mHeartbeatNumber < current.mHeartbeatNumber) {
     CountEvent(MemberEvent::Refuted);
     MarkForPeers(aEntry);
   }
--- a/src/membership/MemberTable.h
+++ b/src/membership/MemberTable.h
@@ -35,7 +35,7 @@
 /** A counted event of a table. */
 enum class MemberEvent : std::uint8_t
 {
-  HeartbeatTaken,
+  HeartbeatAccepted,
   /** A heartbeat that is a duplicate, late or of an old incarnation. */
   HeartbeatStale,
   /** The inventory does not assign the service to the host. */
@@ -59,10 +59,10 @@
 {
   /** A member is suspected if no heartbeat arrives for this long: three
    * intervals of 500 ms, so that one lost datagram raises no suspicion. */
-  Duration mSuspectAfter = std::chrono::milliseconds(1500);
+  Duration mSuspectTimeout = std::chrono::milliseconds(1500);
   /** A suspected member is declared dead unless refuted within this time. */
-  Duration mRefuteWithin = std::chrono::milliseconds(1500);
-  /** Added to mSuspectAfter for members that have sent this process no
+  Duration mRefutationTimeout = std::chrono::milliseconds(1500);
+  /** Added to mSuspectTimeout for members that have sent this process no
    * heartbeat since monitoring began: they may not know yet that it monitors
    * them. */
   Duration mNewMonitorGracePeriod = std::chrono::seconds(3);
@@ -76,7 +76,7 @@
   bool mDetectsFailures = true;
   /** Time over which the weight grows from the first step to its full value. 0
    * gives full weight from the start, also to cold hosts. */
-  Duration mSlowStart = std::chrono::seconds(10);
+  Duration mSlowStartDuration = std::chrono::seconds(10);
   std::uint16_t mSlowStartSteps = 5;
   /** How long the record of a host that left or died is retained. Longer than a
    * network partition between regions, since a peer with stale records may
@@ -122,7 +122,8 @@
 
   /** Merges records from a peer and returns those that changed the table, which
    * are forwarded along a dissemination tree. A suspicion older than the
-   * heartbeat known here is refuted by the record that TakeChanges returns. */
+   * heartbeat known here is refuted by the record that TakePeerChanges returns.
+   */
   std::vector<MemberRecord> OnDelta(const MemberDelta& aDelta, Time aNow);
   /** Like OnDelta, but ignores tombstones of hosts unknown here. Otherwise
    * repair would exchange tombstones indefinitely. */
@@ -162,11 +163,11 @@
 
   /** Returns up to aLimit records to send to peers, oldest change first, each
    * host once with its latest record. */
-  std::vector<MemberRecord> TakeChanges(std::size_t aLimit, Time aNow);
+  std::vector<MemberRecord> TakePeerChanges(std::size_t aLimit, Time aNow);
 
   /** Returns the records that changed in the view since the last call, from any
    * source; they are sent to the agents that this balancer monitors. */
-  std::vector<MemberRecord> TakeNews(Time aNow);
+  std::vector<MemberRecord> TakeViewChanges(Time aNow);
 
   /** Returns hashes of equal ranges of host ids, about 16 members each. */
   MemberDigest Digest() const;
@@ -194,7 +195,7 @@
   std::size_t Size() const { return mEntries.size() - mGone.size(); }
   /** Number of members in view that this table monitors, without those in their
    * grace period. */
-  std::size_t Judged() const
+  std::size_t MonitoredCount() const
   {
     return mResponsive.size() + mUnresponsive.size();
   }
@@ -264,7 +265,7 @@
    * TakeChangedServices. */
   std::vector<ServiceId> mUncommittedServices;
   std::vector<ServiceId> mChangedServices;
-  /** Hosts changed since the last TakeNews. */
+  /** Hosts changed since the last TakeViewChanges. */
   std::set<HostId> mChangedHosts;
   /** Monitored members: those with recent heartbeats, ordered by the last one;
    * those in their grace period, ordered by its start; and those overdue. */
--- a/src/membership/MemberTableTime.cpp
+++ b/src/membership/MemberTableTime.cpp
@@ -21,9 +21,9 @@
 
 void MemberTable::CollectUnresponsive(Time aNow)
 {
-  MoveOverdue(mResponsive, mOptions.mSuspectAfter, aNow);
+  MoveOverdue(mResponsive, mOptions.mSuspectTimeout, aNow);
   MoveOverdue(mInGracePeriod,
-              mOptions.mSuspectAfter + mOptions.mNewMonitorGracePeriod, aNow);
+              mOptions.mSuspectTimeout + mOptions.mNewMonitorGracePeriod, aNow);
 }
 
 void MemberTable::MoveOverdue(MonitorList& aList, Duration aTimeout, Time aNow)
@@ -74,7 +74,7 @@
   for (auto it = mUnresponsive.begin(); it != mUnresponsive.end();) {
     MemberEntry& entry = *it;
     ++it;
-    if (aNow - entry.mSuspectedAt >= mOptions.mRefuteWithin) {
+    if (aNow - entry.mSuspectedAt >= mOptions.mRefutationTimeout) {
       SetLocalVerdict(entry, Verdict::Dead, aNow);
       UpdateLists(entry, aNow);
     }
@@ -152,17 +152,18 @@
                                            Time aNow) const
 {
   HostState state = aEntry.mRecord.mMember.mState;
-  if (mOptions.mSlowStart == Duration{}) {
+  if (mOptions.mSlowStartDuration == Duration{}) {
     return mOptions.mSlowStartSteps;
   }
   if (state == HostState::Cold) {
     return 1;
   }
   Duration age = aNow - aEntry.mServingSince;
-  if (state != HostState::Serving || age >= mOptions.mSlowStart) {
+  if (state != HostState::Serving || age >= mOptions.mSlowStartDuration) {
     return mOptions.mSlowStartSteps;
   }
-  auto grown = age * (mOptions.mSlowStartSteps - 1) / mOptions.mSlowStart;
+  auto grown =
+    age * (mOptions.mSlowStartSteps - 1) / mOptions.mSlowStartDuration;
   return static_cast<std::uint16_t>(1 + std::max<decltype(grown)>(0, grown));
 }
 
--- a/src/membership/MemberTableViews.cpp
+++ b/src/membership/MemberTableViews.cpp
@@ -140,8 +140,8 @@
   return record;
 }
 
-std::vector<MemberRecord> MemberTable::TakeChanges(std::size_t aLimit,
-                                                   Time aNow)
+std::vector<MemberRecord> MemberTable::TakePeerChanges(std::size_t aLimit,
+                                                       Time aNow)
 {
   std::vector<MemberRecord> out;
   while (!mPeerChanges.empty() && out.size() < aLimit) {
@@ -151,7 +151,7 @@
   return out;
 }
 
-std::vector<MemberRecord> MemberTable::TakeNews(Time aNow)
+std::vector<MemberRecord> MemberTable::TakeViewChanges(Time aNow)
 {
   std::vector<MemberRecord> out;
   for (HostId it : mChangedHosts) {
--- a/src/membership/Monitors.h
+++ b/src/membership/Monitors.h
@@ -16,11 +16,11 @@
   /** Number of monitors per host; 0 for all balancers. */
   std::size_t mCount = 0;
   /** With up to this many balancers, all are monitors regardless of mCount. */
-  std::size_t mAllUpTo = 0;
+  std::size_t mMaxBalancersAllMonitor = 0;
 
   bool IncludesAll(std::size_t aBalancers) const
   {
-    return mCount == 0 || aBalancers <= mAllUpTo;
+    return mCount == 0 || aBalancers <= mMaxBalancersAllMonitor;
   }
   std::size_t CountOf(std::size_t aBalancers) const
   {
--- a/src/passthrough/CandidateOrder.cpp
+++ b/src/passthrough/CandidateOrder.cpp
@@ -39,8 +39,8 @@
   auto ranked = aView.Ranked(aFlowHash);
   std::vector<const Member*> first(ranked.begin(), ranked.end());
   auto out = Order(first, aInputs);
-  for (const Member* it : aView.RankedDeep(aFlowHash, kMostSearched)) {
-    if (out.size() < kMostSearched && std::ranges::count(first, it) == 0) {
+  for (const Member* it : aView.RankedByScan(aFlowHash, kMaxSearched)) {
+    if (out.size() < kMaxSearched && std::ranges::count(first, it) == 0) {
       out.push_back(it);
     }
   }
--- a/src/passthrough/CandidateOrder.h
+++ b/src/passthrough/CandidateOrder.h
@@ -38,7 +38,7 @@
  * among the first eight of a part of the members is among the first 64 of all
  * members if that part was an eighth or more. A search takes about half a
  * millisecond per host, and callers repeat a packet after 200 ms. */
-constexpr std::size_t kMostSearched = 64;
+constexpr std::size_t kMaxSearched = 64;
 
 /** Returns the hosts that may hold a flow, including draining hosts. Thread
  * safe if aInputs is. */
--- a/src/passthrough/DrainWatch.cpp
+++ b/src/passthrough/DrainWatch.cpp
@@ -131,13 +131,13 @@
     }
     std::ranges::sort(read.mDataCentres);
   }
-  Accept(read, "store");
+  AdoptIfNewer(read, "store");
 }
 
 /** Failure met: an isolated peer or a delayed response reports a drain that was
  * cancelled since, or the state before it. The version check rejects it. */
-void DrainWatch::Accept(const DataCentreDrains& aDrains,
-                        std::string_view aSource)
+void DrainWatch::AdoptIfNewer(const DataCentreDrains& aDrains,
+                              std::string_view aSource)
 {
   if (!IsEnabled() || aDrains.mVersion <= mDrains.mVersion) {
     return;
--- a/src/passthrough/DrainWatch.h
+++ b/src/passthrough/DrainWatch.h
@@ -66,7 +66,7 @@
   /** The drains known to a peer. */
   void OnPeerDrains(const DataCentreDrains& aDrains)
   {
-    Accept(aDrains, "peer");
+    AdoptIfNewer(aDrains, "peer");
   }
 
   /** Whether any state of the drains was received, from the store or a peer. */
@@ -87,7 +87,7 @@
   void OnNameChange(const NameChange& aChange);
   void OnAnswer(const WatchSchedule::Call& aCall,
                 const Result<NameChange>& aChange);
-  void Accept(const DataCentreDrains& aDrains, std::string_view aSource);
+  void AdoptIfNewer(const DataCentreDrains& aDrains, std::string_view aSource);
 
   const Clock& mClock;
   ObjectStore& mStore;
--- a/src/passthrough/FlowAdmission.cpp
+++ b/src/passthrough/FlowAdmission.cpp
@@ -23,7 +23,7 @@
 bool FlowAdmission::IsWorthWaiting(const HostCondition& aHost,
                                    const FlowOffer& aOffer) const
 {
-  if (aOffer.mReturnsLater) {
+  if (aOffer.mWillRetransmit) {
     return false;
   }
   bool important = aOffer.mImportance >= Importance::High;
@@ -45,23 +45,23 @@
 {
   bool usable = aHost.mTakesNewFlows && !aHost.mSeemsDown;
   if (usable && HasFreeSlot(aHost)) {
-    return FlowDecision::Take;
+    return FlowDecision::Admit;
   }
-  if (aOffer.mHasMore && !aOffer.mMustTake) {
-    return FlowDecision::PassOn;
+  if (aOffer.mHasMoreCandidates && !aOffer.mIsLastOffer) {
+    return FlowDecision::Forward;
   }
-  bool isBest =
-    aOffer.mMustTake || !aOffer.mHasBest || WaitAt(aHost) <= aOffer.mBestWait;
+  bool isBest = aOffer.mIsLastOffer || !aOffer.mHasBest ||
+                WaitAt(aHost) <= aOffer.mBestWait;
   if (usable && isBest) {
-    return IsWorthWaiting(aHost, aOffer) ? FlowDecision::Take
+    return IsWorthWaiting(aHost, aOffer) ? FlowDecision::Admit
                                          : FlowDecision::Refuse;
   }
-  if (aOffer.mHasBest && !aOffer.mMustTake) {
-    return FlowDecision::ToBest;
+  if (aOffer.mHasBest && !aOffer.mIsLastOffer) {
+    return FlowDecision::ForwardToBest;
   }
   // Offering the flow to a host that only seems down is better than a certain
   // refusal.
-  return aHost.mTakesNewFlows ? FlowDecision::Take : FlowDecision::Refuse;
+  return aHost.mTakesNewFlows ? FlowDecision::Admit : FlowDecision::Refuse;
 }
 
 } // namespace heatherplank
--- a/src/passthrough/FlowAdmission.h
+++ b/src/passthrough/FlowAdmission.h
@@ -28,24 +28,24 @@
   Importance mImportance = Importance::Normal;
   Duration mLatencyTarget{};
   /** There are further candidates. */
-  bool mHasMore = false;
+  bool mHasMoreCandidates = false;
   /** An earlier candidate could serve the flow after waiting for mBestWait. */
   bool mHasBest = false;
   Duration mBestWait{};
   /** All other candidates were tried; the flow can't be forwarded. */
-  bool mMustTake = false;
+  bool mIsLastOffer = false;
   /** The opening packet is a retransmission, and the caller will send another:
    * the flow is late already, and dropping this packet doesn't lose it. */
-  bool mReturnsLater = false;
+  bool mWillRetransmit = false;
 };
 
 enum class FlowDecision : std::uint8_t
 {
-  Take,
+  Admit,
   /** Forward to the next candidate, which may be less loaded. */
-  PassOn,
+  Forward,
   /** Forward to the earlier candidate with the shortest wait. */
-  ToBest,
+  ForwardToBest,
   /** No candidate can answer in time. */
   Refuse,
 };
--- a/src/passthrough/FlowAgent.cpp
+++ b/src/passthrough/FlowAgent.cpp
@@ -51,7 +51,7 @@
 {
   AgentMembershipOptions options;
   options.mSeeds = std::move(aSeeds);
-  options.mHeartbeatEvery = kHeartbeatInterval;
+  options.mHeartbeatInterval = kHeartbeatInterval;
   options.mMonitors = kMonitorRule;
   options.mWantsPeers = false;
   return options;
@@ -66,8 +66,9 @@
   options.mService = aSelf.mService;
   options.mMaxFlows = aSettings.mMaxFlows;
   options.mFlowRetention = std::chrono::seconds(aSettings.mFlowsLastS);
-  options.mSilentAfter = kMaxMissedAnnouncements *
-                         std::chrono::milliseconds(aSettings.mHostHeartbeatMs);
+  options.mAnnouncementTimeout =
+    kMaxMissedAnnouncements *
+    std::chrono::milliseconds(aSettings.mHostHeartbeatMs);
   return options;
 }
 
@@ -89,9 +90,9 @@
 struct FlowAgent::Impl final : HostFlowsOutput
 {
   Impl(const FlowAgentSettings& aSettings, const PlatformAdapter& aAdapter,
-       Reread aReread)
+       ReloadSettings aReloadSettings)
     : mSettings(aSettings)
-    , mReread(std::move(aReread))
+    , mReloadSettings(std::move(aReloadSettings))
     , mAdapter(aAdapter)
     , mSelf(MakeSelf(aSettings))
     , mProcess({ mSettings, aAdapter, mSelf.mHost, mSelf.mIncarnation,
@@ -111,7 +112,7 @@
   }
 
   const FlowAgentSettings mSettings;
-  const Reread mReread;
+  const ReloadSettings mReloadSettings;
   const PlatformAdapter& mAdapter;
   const Member mSelf;
   PassthroughProcess mProcess;
@@ -129,7 +130,7 @@
 
   Result<void> CheckReady()
   {
-    if (mStopping || !mFlows.Host().IsHeard(mClock.Now())) {
+    if (mStopping || !mFlows.Host().IsResponsive(mClock.Now())) {
       return Fail(
         ErrorKind::Unavailable,
         mStopping ? "stopping" : "no recent announcement from the host",
@@ -170,7 +171,8 @@
     mProcess.mRuntime.Every(kTickInterval, [this] { Tick(); });
     mProcess.mRuntime.Every(kMetricsInterval, [this] { EverySecond(); });
     mProcess.mRuntime.OnStop([this] { Stop(); });
-    mProcess.mRuntime.OnReload([this] { mProcess.OnReread(mReread()); });
+    mProcess.mRuntime.OnReload(
+      [this] { mProcess.OnSettingsReloaded(mReloadSettings()); });
     LogEvent(LogLevel::Info, "started",
              { { "service", mSettings.mService },
                { "tunnel", mSettings.mTunnel.ToString() },
@@ -194,7 +196,7 @@
     Duration after = mMembers.ConfirmedAt() == Time{}
                        ? kInitialUnconfirmedTimeout
                        : kUnconfirmedTimeout;
-    mProcess.TendDirectory(mAnnouncedState && aNow - since > after, aNow);
+    mProcess.UpdateDirectory(mAnnouncedState && aNow - since > after, aNow);
   }
 
   void EverySecond()
@@ -260,7 +262,7 @@
       mMembers.Announce();
       mMembers.SetState(now);
     } else {
-      mMembers.BeginLife(now);
+      mMembers.BeginIncarnation(now);
     }
     mAnnouncedState = now;
   }
@@ -268,7 +270,7 @@
   HostState CurrentState() const
   {
     const HostStatus& host = mFlows.Host();
-    if (host.Phase() == HostPhase::Gone || !host.IsHeard(mClock.Now())) {
+    if (host.Phase() == HostPhase::Gone || !host.IsResponsive(mClock.Now())) {
       return HostState::Leaving;
     }
     return mStopping || host.Phase() == HostPhase::Draining
@@ -278,7 +280,7 @@
 
   void OnDatagram(ByteView aDatagram)
   {
-    if (auto frame = mProcess.Unwrap(aDatagram)) {
+    if (auto frame = mProcess.DecodeEnvelope(aDatagram)) {
       OnFrame(*frame);
     }
   }
@@ -333,7 +335,7 @@
     mProcess.Report(aBalancer, aReport);
   }
 
-  void Measured(HostTiming aTiming, Duration aTook) override
+  void RecordDuration(HostTiming aTiming, Duration aTook) override
   {
     auto& histogram =
       aTiming == HostTiming::Opening ? mOpeningTime : mAnswerTime;
@@ -359,9 +361,10 @@
 
 Result<std::unique_ptr<FlowAgent>> FlowAgent::Make(
   const FlowAgentSettings& aSettings, const PlatformAdapter& aAdapter,
-  Reread aReread)
+  ReloadSettings aReloadSettings)
 {
-  auto impl = std::make_unique<Impl>(aSettings, aAdapter, std::move(aReread));
+  auto impl =
+    std::make_unique<Impl>(aSettings, aAdapter, std::move(aReloadSettings));
   auto opened = impl->Open();
   if (!opened) {
     return tl::unexpected(opened.error());
--- a/src/passthrough/FlowAgent.h
+++ b/src/passthrough/FlowAgent.h
@@ -17,14 +17,14 @@
 {
 public:
   /** Reloads the settings. */
-  using Reread = std::function<Result<FlowAgentSettings>()>;
+  using ReloadSettings = std::function<Result<FlowAgentSettings>()>;
 
   /** Opens every port; returns ErrorKind::System with a remedy if one can't be
-   * opened. aAdapter must outlive the agent. aReread is called when the
+   * opened. aAdapter must outlive the agent. aReloadSettings is called when the
    * settings may have changed. */
   static Result<std::unique_ptr<FlowAgent>> Make(
     const FlowAgentSettings& aSettings, const PlatformAdapter& aAdapter,
-    Reread aReread);
+    ReloadSettings aReloadSettings);
 
   ~FlowAgent();
 
--- a/src/passthrough/FlowBalancer.cpp
+++ b/src/passthrough/FlowBalancer.cpp
@@ -11,7 +11,7 @@
 #include "src/passthrough/InventoryExchange.h"
 #include "src/passthrough/IsolationWatch.h"
 #include "src/passthrough/PassthroughProcess.h"
-#include "src/process/StandstillWatch.h"
+#include "src/process/ProcessStallWatch.h"
 #include "src/wire/MembershipCodec.h"
 #include "src/wire/PassthroughCodec.h"
 
@@ -44,9 +44,9 @@
 struct FlowBalancer::Impl final : FlowSteeringOutput
 {
   Impl(const FlowBalancerSettings& aSettings, const PlatformAdapter& aAdapter,
-       Reread aReread)
+       ReloadSettings aReloadSettings)
     : mSettings(aSettings)
-    , mReread(std::move(aReread))
+    , mReloadSettings(std::move(aReloadSettings))
     , mSelf(MakeSelf(aSettings))
     , mProcess({ mSettings, aAdapter, mSelf.mHost, mSelf.mIncarnation,
                  mSelf.mControl, [this] { return Ready(); },
@@ -67,7 +67,7 @@
                 aAdapter.Inventories(), MakeWatchOptions(aSettings, mSelf),
                 MakeDrainOptions(aSettings, mSelf),
                 MakePeerOptions(aSettings, mSelf),
-                MakeDutyOptions(aSettings, mSelf, mClock.Now()),
+                MakeWatcherSelectionOptions(aSettings, mSelf, mClock.Now()),
                 [this] { return mMembers.Balancers(); },
                 [this] { return mProcess.Seeds(); },
                 [this](FlowInventoryPtr aInventory) {
@@ -83,7 +83,7 @@
   }
 
   const FlowBalancerSettings mSettings;
-  const Reread mReread;
+  const ReloadSettings mReloadSettings;
   const Member mSelf;
   PassthroughProcess mProcess;
   const Clock& mClock;
@@ -94,7 +94,7 @@
   DataCentreDrains mDrains;
   boost::asio::steady_timer mRetryTimer;
   std::optional<Time> mRetryAt;
-  StandstillWatch mStallWatch;
+  ProcessStallWatch mStallWatch;
   std::shared_ptr<DatagramSocket> mIngress;
   const Time mStartedAt;
   IsolationWatch mIsolation;
@@ -150,7 +150,8 @@
     mProcess.mRuntime.Every(kTickInterval, [this] { Tick(); });
     mProcess.mRuntime.Every(kExportInterval, [this] { EverySecond(); });
     mProcess.mRuntime.OnStop([this] { Stop(); });
-    mProcess.mRuntime.OnReload([this] { mProcess.OnReread(mReread()); });
+    mProcess.mRuntime.OnReload(
+      [this] { mProcess.OnSettingsReloaded(mReloadSettings()); });
     LogEvent(LogLevel::Info, "started",
              { { "ingress", mSettings.mIngress.ToString() },
                { "tunnel", mSettings.mTunnel.ToString() },
@@ -174,7 +175,7 @@
   Time CheckForStall()
   {
     Time now = mClock.Now();
-    Duration gap = mStallWatch.OnTick(now, StandstillWatch::SinceBoot());
+    Duration gap = mStallWatch.OnTick(now, ProcessStallWatch::SinceBoot());
     if (gap > Duration::zero()) {
       OnProcessStall(gap, now);
     }
@@ -187,9 +188,9 @@
   {
     auto ms = std::chrono::duration_cast<std::chrono::milliseconds>(aGap);
     LogEvent(LogLevel::Warning, "stood_still", { { "ms", ms.count() } });
-    mSteering.OnStandstill(aNow);
+    mSteering.OnProcessStall(aNow);
     mIsolation.OnProcessStall(aNow);
-    mRoutes.OnStandstill();
+    mRoutes.OnProcessStall();
     if (aGap >= kMinStallForRouteRead) {
       mRoutes.ReadNow();
     }
@@ -197,10 +198,11 @@
 
   void EvaluateIsolation(Time aNow)
   {
-    std::size_t agents = mMembers.Judged();
+    std::size_t agents = mMembers.MonitoredCount();
     if (mIsolation.ShouldProbe(agents, aNow)) {
       std::vector<Address> probed;
-      for (const Member& it : mMembers.AskSome(IsolationWatch::kProbeCount)) {
+      for (const Member& it :
+           mMembers.RequestHeartbeats(IsolationWatch::kProbeCount)) {
         probed.push_back(it.mTunnel);
       }
       mIsolation.OnProbed(std::move(probed), aNow);
@@ -215,14 +217,14 @@
 
   void UpdateDirectory(Time aNow)
   {
-    bool storeAnswers = mRoutes.IsStoreAnswering();
+    bool storeAnswers = mRoutes.IsStoreAvailable();
     if (storeAnswers && !mStoreAnswered) {
       mProcess.RegisterAgain();
     }
     mStoreAnswered = storeAnswers;
     bool hasNoPeers = mMembers.Balancers().empty() && mMembers.Size() == 0;
-    mProcess.TendDirectory(hasNoPeers && aNow - mStartedAt > kNoPeersTimeout,
-                           aNow);
+    mProcess.UpdateDirectory(hasNoPeers && aNow - mStartedAt > kNoPeersTimeout,
+                             aNow);
   }
 
   void EverySecond()
@@ -230,7 +232,7 @@
     mProcess.EverySecond();
     auto& metrics = mProcess.mMetrics;
     metrics.GetGauge("store_heard_s_ago")
-      .Set(InMs(mClock.Now() - mRoutes.HeardAt()) / 1000);
+      .Set(InMs(mClock.Now() - mRoutes.LastAnswerAt()) / 1000);
     metrics.GetGauge("members").Set(static_cast<double>(mMembers.Size()));
     metrics.GetGauge("routes_version")
       .Set(static_cast<double>(mRoutes.Version()));
@@ -241,7 +243,7 @@
 
   void OnDatagram(ByteView aDatagram, const Address& aFrom)
   {
-    auto frame = mProcess.Unwrap(aDatagram);
+    auto frame = mProcess.DecodeEnvelope(aDatagram);
     if (!frame) {
       return;
     }
@@ -312,7 +314,7 @@
     if (!aSteered || aSteered->mPurpose != SteerPurpose::NotHere) {
       return false;
     }
-    mSteering.OnNotHere(std::move(*aSteered), mClock.Now());
+    mSteering.OnReturned(std::move(*aSteered), mClock.Now());
     return true;
   }
 
@@ -385,9 +387,10 @@
 
 Result<std::unique_ptr<FlowBalancer>> FlowBalancer::Make(
   const FlowBalancerSettings& aSettings, const PlatformAdapter& aAdapter,
-  Reread aReread)
+  ReloadSettings aReloadSettings)
 {
-  auto impl = std::make_unique<Impl>(aSettings, aAdapter, std::move(aReread));
+  auto impl =
+    std::make_unique<Impl>(aSettings, aAdapter, std::move(aReloadSettings));
   auto opened = impl->Open();
   if (!opened) {
     return tl::unexpected(opened.error());
--- a/src/passthrough/FlowBalancer.h
+++ b/src/passthrough/FlowBalancer.h
@@ -16,14 +16,14 @@
 {
 public:
   /** Reads the settings again. */
-  using Reread = std::function<Result<FlowBalancerSettings>()>;
+  using ReloadSettings = std::function<Result<FlowBalancerSettings>()>;
 
   /** Opens all ports. Returns ErrorKind::System with a remedy if a port cannot
-   * be opened. aAdapter must outlive this object. aReread is called when the
-   * settings may have changed. */
+   * be opened. aAdapter must outlive this object. aReloadSettings is called
+   * when the settings may have changed. */
   static Result<std::unique_ptr<FlowBalancer>> Make(
     const FlowBalancerSettings& aSettings, const PlatformAdapter& aAdapter,
-    Reread aReread);
+    ReloadSettings aReloadSettings);
 
   ~FlowBalancer();
 
--- a/src/passthrough/FlowBalancerOptions.cpp
+++ b/src/passthrough/FlowBalancerOptions.cpp
@@ -36,10 +36,10 @@
   options.mMonitors = kMonitorRule;
   // Three heartbeats of an agent. Flows do not wait for it: a host that does
   // not answer an opening packet is tried last at once.
-  options.mTable.mSuspectAfter = std::chrono::milliseconds(1600);
-  options.mTable.mRefuteWithin = std::chrono::milliseconds(1400);
+  options.mTable.mSuspectTimeout = std::chrono::milliseconds(1600);
+  options.mTable.mRefutationTimeout = std::chrono::milliseconds(1400);
   // Ranks use the full weight; the agent takes a cold host into account.
-  options.mTable.mSlowStart = Duration::zero();
+  options.mTable.mSlowStartDuration = Duration::zero();
   return options;
 }
 
@@ -69,8 +69,8 @@
            MakeSeed(aSelf) };
 }
 
-StoreWatchDuty::Options MakeDutyOptions(const FlowBalancerSettings& aSettings,
-                                        const Member& aSelf, Time aNow)
+StoreWatcherSelection::Options MakeWatcherSelectionOptions(
+  const FlowBalancerSettings& aSettings, const Member& aSelf, Time aNow)
 {
   std::uint32_t limitMs = aSettings.mRoutesInForceWithinMs;
   if (!aSettings.mDrains.empty()) {
--- a/src/passthrough/FlowBalancerOptions.h
+++ b/src/passthrough/FlowBalancerOptions.h
@@ -21,7 +21,7 @@
                                      const Member& aSelf);
 InventoryPeers::Options MakePeerOptions(const FlowBalancerSettings& aSettings,
                                         const Member& aSelf);
-StoreWatchDuty::Options MakeDutyOptions(const FlowBalancerSettings& aSettings,
-                                        const Member& aSelf, Time aNow);
+StoreWatcherSelection::Options MakeWatcherSelectionOptions(
+  const FlowBalancerSettings& aSettings, const Member& aSelf, Time aNow);
 
 } // namespace heatherplank
--- a/src/passthrough/FlowSteering.cpp
+++ b/src/passthrough/FlowSteering.cpp
@@ -100,7 +100,7 @@
   }
 }
 
-void FlowSteering::OnStandstill(Time aNow)
+void FlowSteering::OnProcessStall(Time aNow)
 {
   mWatch.ForgetAll();
   mAssumeCopiesUntil =
@@ -230,7 +230,7 @@
   FlowKey flow = aPacket.FlowFromCaller();
   std::uint64_t hash = HashFlow(flow);
   const Member* hinted = HintedMember(hash);
-  bool isLaterCopy = aPacket.mRepeats > 0 || hinted != nullptr ||
+  bool isLaterCopy = aPacket.mRetransmissions > 0 || hinted != nullptr ||
                      mWatch.IsWatched(flow) || aNow < mAssumeCopiesUntil;
   const FlowRoute* route = mInventory->Find(flow.mService);
   if (route == nullptr) {
@@ -291,7 +291,7 @@
     }
     Increment(SteerEvent::OfferedAgain);
     Offer(it.mFlow, std::move(it.mSteered), std::move(it.mCandidates),
-          PlacementWatch::Copy::Later, aNow, it.mRetries);
+          PlacementWatch::Copy::Later, aNow, it.mRepeatedOffers);
   }
 }
 
--- a/src/passthrough/FlowSteering.h
+++ b/src/passthrough/FlowSteering.h
@@ -71,7 +71,7 @@
   void OnPacket(ByteView aDatagram, Time aNow);
 
   /** An agent returned the packet because its host does not hold the flow. */
-  void OnNotHere(SteeredPacket aSteered, Time aNow);
+  void OnReturned(SteeredPacket aSteered, Time aNow);
 
   void OnReport(const PlacementReport& aReport, Time aNow);
 
@@ -83,7 +83,7 @@
    * the waiting packet counted as the first offer, its refusal would reset the
    * open flow. So every opening packet counts as a later copy for a short time
    * after the stall. */
-  void OnStandstill(Time aNow);
+  void OnProcessStall(Time aNow);
 
   /** Call once when the process has started.
    *
--- a/src/passthrough/FlowSteeringSearch.cpp
+++ b/src/passthrough/FlowSteeringSearch.cpp
@@ -5,7 +5,7 @@
 
 #include "src/base/Log.h"
 #include "src/passthrough/FlowSteering.h"
-#include "src/passthrough/SearchWalks.h"
+#include "src/passthrough/SearchPaths.h"
 
 namespace heatherplank {
 
@@ -65,7 +65,7 @@
                         { "others", hosts.size() - 1 },
                         { "earlier", aEarlierSearches } });
   aSteered.mPurpose = SteerPurpose::FanOut;
-  for (SearchWalk& it : DealWalks(hosts, kFanOutAgents)) {
+  for (SearchPath& it : SplitSearch(hosts, kFanOutAgents)) {
     aSteered.mCandidates = std::move(it.mOthers);
     mOutput.Steer(it.mFirst, aSteered);
   }
@@ -87,7 +87,7 @@
   }
 }
 
-void FlowSteering::OnNotHere(SteeredPacket aSteered, Time aNow)
+void FlowSteering::OnReturned(SteeredPacket aSteered, Time aNow)
 {
   auto packet = mFormat.Parse(aSteered.mPacket);
   if (!packet) {
--- a/src/passthrough/HeartbeatRule.h
+++ b/src/passthrough/HeartbeatRule.h
@@ -17,6 +17,7 @@
  * for 2,600. With three monitors, one of them in another data centre, a host's
  * failure goes unnoticed only if all three fail with it.
  */
-constexpr MonitorRule kMonitorRule{ .mCount = 3, .mAllUpTo = 24 };
+constexpr MonitorRule kMonitorRule{ .mCount = 3,
+                                    .mMaxBalancersAllMonitor = 24 };
 
 } // namespace heatherplank
--- a/src/passthrough/HostAnnouncement.h
+++ b/src/passthrough/HostAnnouncement.h
@@ -34,7 +34,7 @@
   /** Requests that the host processes concurrently. */
   std::uint16_t mSlots = 1;
   /** Remaining time during which the host is slower after its start. */
-  Duration mColdFor{};
+  Duration mColdRemaining{};
 };
 
 } // namespace heatherplank
--- a/src/passthrough/HostFlows.cpp
+++ b/src/passthrough/HostFlows.cpp
@@ -69,7 +69,7 @@
   , mOutput(aOutput)
   , mAdmission(aOptions.mAdmission)
   , mStartedAt(aNow)
-  , mHostStatus(aOptions.mSilentAfter)
+  , mHostStatus(aOptions.mAnnouncementTimeout)
   , mColdRate(aNow)
   , mFlows(aOptions.mMaxFlows)
 {
@@ -79,7 +79,7 @@
 {
   HostCondition out;
   bool acceptsUnannounced =
-    !mOptions.mGuards.mHearFirst && !mHostStatus.IsHeard(aNow);
+    !mOptions.mGuards.mRequireAnnouncement && !mHostStatus.IsResponsive(aNow);
   out.mTakesNewFlows = !mLeaving && !mDrain.IsDrained(aNow) &&
                        (acceptsUnannounced || mHostStatus.TakesNewFlows(aNow));
   bool unanswered =
@@ -127,7 +127,7 @@
 void HostFlows::OnSteered(SteeredPacket aSteered, Time aNow)
 {
   auto packet = mFormat.Parse(aSteered.mPacket);
-  if (!packet || packet->mBounced) {
+  if (!packet || packet->mReturned) {
     CountEvent(HostFlowEvent::Malformed);
     return;
   }
@@ -141,7 +141,7 @@
   }
   if (aSteered.mPurpose == SteerPurpose::Place) {
     mDrain.OnOffer(aSteered.mDrainsVersion, aNow);
-    mServiceTime.Expect(aSteered.mLatencyTarget, MayBeCold(aNow));
+    mServiceTime.SetInitialEstimate(aSteered.mLatencyTarget, MayBeCold(aNow));
     Place(aSteered, *packet, aNow);
     return;
   }
@@ -163,23 +163,24 @@
   FlowOffer offer;
   offer.mImportance = aSteered.mImportance;
   offer.mLatencyTarget = aSteered.mLatencyTarget;
-  offer.mHasMore = !aSteered.mCandidates.empty();
+  offer.mHasMoreCandidates = !aSteered.mCandidates.empty();
   offer.mHasBest = !aSteered.mBest.IsNone();
   offer.mBestWait = aSteered.mBestWait;
-  offer.mMustTake = aSteered.mMustTake;
-  offer.mReturnsLater = aPacket.mRepeats > 0 && aPacket.mRepeatsAgain;
+  offer.mIsLastOffer = aSteered.mIsLastOffer;
+  offer.mWillRetransmit =
+    aPacket.mRetransmissions > 0 && aPacket.mWillRetransmit;
   switch (mAdmission.Decide(ConditionFor(aSteered, aNow), offer)) {
-    case FlowDecision::Take:
+    case FlowDecision::Admit:
       Admit(aSteered, aPacket, aNow);
       return;
-    case FlowDecision::PassOn:
+    case FlowDecision::Forward:
       ForwardPlacement(aSteered, flow, aNow);
       return;
-    case FlowDecision::ToBest: {
+    case FlowDecision::ForwardToBest: {
       CountEvent(HostFlowEvent::SentToBest);
       LogFlow("sent_to_best", { { "flow", flow.ToString() },
                                 { "to", aSteered.mBest.ToString() } });
-      aSteered.mMustTake = true;
+      aSteered.mIsLastOffer = true;
       Address best = std::exchange(aSteered.mBest, Address{});
       mOutput.Steer(best, aSteered);
       return;
@@ -227,7 +228,7 @@
                       Time aNow)
 {
   FlowKey flow = aPacket.FlowFromCaller();
-  Table::Entry* entry = mFlows.Put(flow, aNow);
+  Table::Entry* entry = mFlows.FindOrInsert(flow, aNow);
   if (entry == nullptr) {
     CountEvent(HostFlowEvent::TableFull);
     Refuse(aSteered, flow, aNow);
--- a/src/passthrough/HostFlows.h
+++ b/src/passthrough/HostFlows.h
@@ -43,7 +43,7 @@
   virtual void Steer(const Address& aTo, const SteeredPacket& aPacket) = 0;
   virtual void Report(const Address& aBalancer,
                       const PlacementReport& aReport) = 0;
-  virtual void Measured(HostTiming aTiming, Duration aTook) = 0;
+  virtual void RecordDuration(HostTiming aTiming, Duration aTook) = 0;
 };
 
 /** Events of packets and flows; one counter each. */
@@ -84,11 +84,11 @@
   bool mCheckService = true;
   /** Checks the caller's acknowledgement number before a flow counts as open
    * at this host. */
-  bool mMatchAcknowledged = true;
+  bool mCheckAcknowledgement = true;
   /** After an agent restart, probes the host for flows that it may hold. */
-  bool mAskUnknown = true;
+  bool mProbeUnknownFlows = true;
   /** Admits no new flow before the host's first announcement. */
-  bool mHearFirst = true;
+  bool mRequireAnnouncement = true;
 };
 
 /** An agent's table of the flows that its host holds and of the requests in
@@ -117,7 +117,7 @@
      */
     Duration mFlowRetention = std::chrono::seconds(60);
     /** A host without an announcement for this long counts as unresponsive. */
-    Duration mSilentAfter = std::chrono::milliseconds(3600);
+    Duration mAnnouncementTimeout = std::chrono::milliseconds(3600);
     FlowAdmission::Options mAdmission;
     HostFlowGuards mGuards;
   };
--- a/src/passthrough/HostFlowsDelivery.cpp
+++ b/src/passthrough/HostFlowsDelivery.cpp
@@ -5,7 +5,7 @@
 
 #include "src/base/Log.h"
 #include "src/passthrough/HostFlows.h"
-#include "src/passthrough/SearchWalks.h"
+#include "src/passthrough/SearchPaths.h"
 
 namespace heatherplank {
 
@@ -27,7 +27,7 @@
   if (aFlow.mStage == Stage::Open || !aFlow.mHostSequenceKnown) {
     return aFlow.mStage >= Stage::Answered;
   }
-  if (!aPacket.mAck || !mOptions.mGuards.mMatchAcknowledged) {
+  if (!aPacket.mAck || !mOptions.mGuards.mCheckAcknowledgement) {
     return true;
   }
   std::uint32_t ahead = aPacket.mAcknowledged - aFlow.mHostSequence;
@@ -45,7 +45,7 @@
     return;
   }
   SteeredPacket search = aSteered;
-  for (SearchWalk& part : DealWalks(hosts, kWalksEach)) {
+  for (SearchPath& part : SplitSearch(hosts, kPathsPerFanOut)) {
     search.mCandidates = std::move(part.mOthers);
     mOutput.Steer(part.mFirst, search);
   }
@@ -136,7 +136,7 @@
 
 bool HostFlows::MayHoldUnknownFlows(Time aNow) const
 {
-  return mOptions.mGuards.mAskUnknown &&
+  return mOptions.mGuards.mProbeUnknownFlows &&
          aNow - mStartedAt < mOptions.mFlowRetention &&
          !mHostStatus.IsObservedFromStart() &&
          mHostStatus.Phase() != HostPhase::Gone;
@@ -174,7 +174,7 @@
     return;
   }
   mUnansweredSince = Time{};
-  if (packet->mBounced) {
+  if (packet->mReturned) {
     OnReturned(aPacket, *packet, aNow);
     return;
   }
@@ -221,7 +221,7 @@
     ForwardPlacement(steered, flow, aNow);
     return;
   }
-  if (auto* rejected = mFlows.Put(flow, aNow)) {
+  if (auto* rejected = mFlows.FindOrInsert(flow, aNow)) {
     rejected->mValue.mStage = Stage::NotHere;
   }
   ForwardSearch(steered, flow);
@@ -230,7 +230,7 @@
 void HostFlows::RecordHostPacket(const FlowPacket& aPacket, Time aNow)
 {
   FlowKey key = aPacket.FlowFromHost();
-  Table::Entry* entry = mFlows.Put(key, aNow);
+  Table::Entry* entry = mFlows.FindOrInsert(key, aNow);
   if (entry == nullptr) {
     CountEvent(HostFlowEvent::TableFull);
     return;
@@ -239,7 +239,7 @@
   if (aPacket.mSyn) {
     auto opening = mWork.End(key, aNow);
     if (opening.mLasted > Duration::zero()) {
-      mOutput.Measured(HostTiming::Opening, opening.mLasted);
+      mOutput.RecordDuration(HostTiming::Opening, opening.mLasted);
     }
     if (flow.mHostSequenceKnown && flow.mHostSequence != aPacket.mSequence) {
       // The caller reused its port for a new flow.
@@ -263,8 +263,9 @@
     auto request = mWork.End(key, aNow);
     if (aPacket.mDataLength > 0 && request.mLasted > Duration::zero()) {
       CountEvent(HostFlowEvent::Answered);
-      mOutput.Measured(HostTiming::Answer, request.mLasted);
-      mServiceTime.Learn(request.mLasted, request.mAhead, mHostStatus.Slots());
+      mOutput.RecordDuration(HostTiming::Answer, request.mLasted);
+      mServiceTime.RecordAnswer(request.mLasted, request.mAhead,
+                                mHostStatus.Slots());
     }
   }
   flow.mFinished = flow.mFinished || aPacket.mFin || aPacket.mReset;
--- a/src/passthrough/HostStatus.cpp
+++ b/src/passthrough/HostStatus.cpp
@@ -92,7 +92,7 @@
   mSequence = sequence;
   mPhase = aAnnouncement.mPhase;
   mSlots = aAnnouncement.mSlots;
-  mColdUntil = aNow + aAnnouncement.mColdFor;
+  mColdUntil = aNow + aAnnouncement.mColdRemaining;
   mLastAnnouncementAt = aNow;
   if (!isCurrent && !isFirst) {
     return AnnouncementEffect::NewIncarnation;
@@ -101,14 +101,14 @@
                             : AnnouncementEffect::Refreshed;
 }
 
-bool HostStatus::IsHeard(Time aNow) const
+bool HostStatus::IsResponsive(Time aNow) const
 {
   return mHasAnnouncement && aNow - mLastAnnouncementAt < mAnnouncementTimeout;
 }
 
 bool HostStatus::TakesNewFlows(Time aNow) const
 {
-  return IsHeard(aNow) && mPhase == HostPhase::Ready;
+  return IsResponsive(aNow) && mPhase == HostPhase::Ready;
 }
 
 } // namespace heatherplank
--- a/src/passthrough/HostStatus.h
+++ b/src/passthrough/HostStatus.h
@@ -37,7 +37,7 @@
                                     Time aNow);
 
   /** Whether an announcement arrived within the announcement timeout. */
-  bool IsHeard(Time aNow) const;
+  bool IsResponsive(Time aNow) const;
 
   /** Whether the host may be given new flows. False before the first
    * announcement: an agent that restarted does not know whether the host is
--- a/src/passthrough/InventoryExchange.cpp
+++ b/src/passthrough/InventoryExchange.cpp
@@ -19,7 +19,7 @@
 
 InventoryExchange::InventoryExchange(Parts aParts)
   : mParts(std::move(aParts))
-  , mDuty(mParts.mDuty)
+  , mWatcherSelection(mParts.mWatcherSelection)
   , mPeers(mParts.mPeers)
   , mWatch(InventoryWatch::Make(
       mParts.mClock, mParts.mStore, mParts.mReader, mParts.mWatch,
@@ -41,15 +41,15 @@
   mDrains->OnTick();
   // The response to a read of one object does not carry the store's version, so
   // only the time of the last watch counts.
-  mDrains->OnStoreVersion(mParts.mStore.SeenVersion(), mWatch->WatchedAt());
+  mDrains->OnStoreVersion(mParts.mStore.LastSeenVersion(), mWatch->WatchedAt());
   Send(mPeers.OnTick(PeerAddresses(balancers), MakeLocalState(now), now));
 }
 
 void InventoryExchange::UpdateWatch(std::span<const Member> aBalancers,
                                     Time aNow)
 {
-  auto wait = mDuty.WatchDuration(aBalancers, HasRoutesAndDrains(),
-                                  mPeers.IsDocumentPending(aNow), aNow);
+  auto wait = mWatcherSelection.WatchDuration(
+    aBalancers, HasRoutesAndDrains(), mPeers.IsDocumentPending(aNow), aNow);
   mWatch->SetWatchDuration(wait);
   // While the store is unavailable, one kind of call detects its return.
   mDrains->SetWatching(wait && !mWatch->IsStoreLost());
@@ -64,7 +64,7 @@
 Time InventoryExchange::ConfirmedAt() const
 {
   Time local = std::min(mWatch->ConfirmedAt(), mDrains->ConfirmedAt());
-  return std::max(local, mDuty.ConfirmedAt().value_or(Time{}));
+  return std::max(local, mWatcherSelection.ConfirmedAt().value_or(Time{}));
 }
 
 InventoryPeers::LocalState InventoryExchange::MakeLocalState(Time aNow) const
@@ -135,7 +135,7 @@
     Version() != 0 && aNotice.mVersion <= Version() &&
     aNotice.mDrains.mVersion >= mDrains->Drains().mVersion;
   if (aNotice.mConfirmedAgo && confirmsLocalState) {
-    mDuty.OnConfirmed(now - *aNotice.mConfirmedAgo);
+    mWatcherSelection.OnConfirmed(now - *aNotice.mConfirmedAgo);
   }
   Send(mPeers.OnNotice(aNotice, MakeLocalState(now), now));
 }
--- a/src/passthrough/InventoryExchange.h
+++ b/src/passthrough/InventoryExchange.h
@@ -8,7 +8,7 @@
 #include "src/passthrough/InventoryMessages.h"
 #include "src/passthrough/InventoryPeers.h"
 #include "src/passthrough/InventoryWatch.h"
-#include "src/passthrough/StoreWatchDuty.h"
+#include "src/passthrough/StoreWatcherSelection.h"
 
 namespace heatherplank {
 
@@ -16,8 +16,8 @@
 
 /** Keeps a balancer's routes and drained data centres up to date from the store
  * and from other balancers, and notifies other balancers of changes. Connects
- * StoreWatchDuty, InventoryWatch, DrainWatch and InventoryPeers to the network.
- * Runs on one thread.
+ * StoreWatcherSelection, InventoryWatch, DrainWatch and InventoryPeers to the
+ * network. Runs on one thread.
  *
  * Routes come into force once the drains are known: a balancer that knows only
  * the routes would place flows on hosts that are about to lose power.
@@ -34,7 +34,7 @@
     InventoryWatch::Options mWatch;
     DrainWatch::Options mDrainWatch;
     InventoryPeers::Options mPeers;
-    StoreWatchDuty::Options mDuty;
+    StoreWatcherSelection::Options mWatcherSelection;
     /** The other balancers in the membership view. */
     std::function<std::vector<Member>()> mBalancers;
     /** Control addresses used while no other balancer is in the view. */
@@ -54,7 +54,7 @@
   void OnDocument(const InventoryDocument& aDocument);
 
   /** This process was stalled. */
-  void OnStandstill() { mDuty.OnProcessStall(); }
+  void OnProcessStall() { mWatcherSelection.OnProcessStall(); }
 
   /** Reads routes and drains from the store: the local copies may be old. */
   void ReadNow();
@@ -62,10 +62,10 @@
   /** The routes' version; 0 before any were received. */
   std::uint64_t Version() const { return mWatch->Version(); }
   /** When the store last responded; zero if it never did. */
-  Time HeardAt() const { return mWatch->LastAnswerAt(); }
-  bool IsStoreAnswering() const
+  Time LastAnswerAt() const { return mWatch->LastAnswerAt(); }
+  bool IsStoreAvailable() const
   {
-    return HeardAt() != Time{} && !mWatch->IsStoreLost();
+    return LastAnswerAt() != Time{} && !mWatch->IsStoreLost();
   }
 
 private:
@@ -88,7 +88,7 @@
   void Send(const std::vector<InventoryPeers::OutgoingNotice>& aNotices);
 
   Parts mParts;
-  StoreWatchDuty mDuty;
+  StoreWatcherSelection mWatcherSelection;
   InventoryPeers mPeers;
   std::shared_ptr<InventoryWatch> mWatch;
   std::shared_ptr<DrainWatch> mDrains;
--- a/src/passthrough/NewByteDetector.h
+++ b/src/passthrough/NewByteDetector.h
@@ -25,17 +25,17 @@
   bool Record(std::uint32_t aSequence, std::uint16_t aLength)
   {
     std::uint32_t end = aSequence + aLength;
-    bool isNew =
-      aLength > 0 && (!mAny || static_cast<std::int32_t>(end - mEnd) > 0);
+    bool isNew = aLength > 0 &&
+                 (!mHasSeenBytes || static_cast<std::int32_t>(end - mEnd) > 0);
     if (isNew) {
-      mAny = true;
+      mHasSeenBytes = true;
       mEnd = end;
     }
     return isNew;
   }
 
 private:
-  bool mAny = false;
+  bool mHasSeenBytes = false;
   /** The sequence number after the last byte seen. */
   std::uint32_t mEnd = 0;
 };
--- a/src/passthrough/PacketFormat.h
+++ b/src/passthrough/PacketFormat.h
@@ -20,16 +20,16 @@
   bool mReset = false;
   /** The host returned the packet: it does not hold the flow or could not
    * accept the packet. */
-  bool mBounced = false;
+  bool mReturned = false;
   /** Written by PacketFormat::Tag; a packet that the host returns keeps it. */
   std::uint32_t mTag = 0;
   std::uint32_t mSequence = 0;
   std::uint32_t mAcknowledged = 0;
   std::uint16_t mDataLength = 0;
   /** How often the caller has sent this opening packet already. */
-  std::uint32_t mRepeats = 0;
+  std::uint32_t mRetransmissions = 0;
   /** The caller will send this opening packet again if it gets no reply. */
-  bool mRepeatsAgain = false;
+  bool mWillRetransmit = false;
 
   /** The flow of a packet that the caller sent. */
   FlowKey FlowFromCaller() const { return { mSource, mDestination }; }
--- a/src/passthrough/PassthroughProcess.cpp
+++ b/src/passthrough/PassthroughProcess.cpp
@@ -54,7 +54,7 @@
   return mAdmin.Start(executor, mSettings.mMetrics);
 }
 
-std::optional<Frame> PassthroughProcess::Unwrap(ByteView aDatagram)
+std::optional<Frame> PassthroughProcess::DecodeEnvelope(ByteView aDatagram)
 {
   auto frame = DecodeDatagram(aDatagram);
   if (!frame) {
@@ -92,10 +92,10 @@
     .Set(static_cast<double>(DroppedLogLines()));
 }
 
-void PassthroughProcess::TendDirectory(bool aIsLost, Time aNow)
+void PassthroughProcess::UpdateDirectory(bool aHasNoPeers, Time aNow)
 {
   if (!mSettings.mDirectory.empty()) {
-    mDirectory->OnTick(aIsLost, aNow);
+    mDirectory->OnTick(aHasNoPeers, aNow);
   }
 }
 
--- a/src/passthrough/PassthroughProcess.h
+++ b/src/passthrough/PassthroughProcess.h
@@ -54,7 +54,7 @@
   Result<void> Open();
 
   /** Decodes a datagram's envelope; none, and counted, if it is malformed. */
-  std::optional<Frame> Unwrap(ByteView aDatagram);
+  std::optional<Frame> DecodeEnvelope(ByteView aDatagram);
   void CountMalformed() { mMalformed.Add(); }
 
   void Steer(const Address& aTo, const SteeredPacket& aPacket);
@@ -77,9 +77,9 @@
   /** Call it about once a second. */
   void EverySecond();
 
-  /** Searches the directory for balancers if aIsLost: no other process has
+  /** Searches the directory for balancers if aHasNoPeers: no other process has
    * responded for a while. Call it several times a second. */
-  void TendDirectory(bool aIsLost, Time aNow);
+  void UpdateDirectory(bool aHasNoPeers, Time aNow);
   void RegisterAgain() { mDirectory->RegisterAgain(); }
 
   /** The seeds of the settings in force. */
@@ -88,7 +88,7 @@
   /** Applies the seeds of reloaded settings; all others are bound to open ports
    * and take effect at a restart. Invalid settings change nothing. */
   template<typename Settings>
-  void OnReread(const Result<Settings>& aSettings)
+  void OnSettingsReloaded(const Result<Settings>& aSettings)
   {
     if (aSettings) {
       ReplaceSeeds(aSettings->mSeeds);
--- a/src/passthrough/PlacementWatch.cpp
+++ b/src/passthrough/PlacementWatch.cpp
@@ -50,9 +50,10 @@
   mBySentAt.clear();
 }
 
-std::vector<PlacementWatch::Retry> PlacementWatch::TakeTimedOut(Time aNow)
+std::vector<PlacementWatch::RepeatedOffer> PlacementWatch::TakeTimedOut(
+  Time aNow)
 {
-  std::vector<Retry> timedOut;
+  std::vector<RepeatedOffer> timedOut;
   while (!mBySentAt.empty() &&
          aNow - mBySentAt.begin()->first >= kAnswerTimeout) {
     auto [sentAt, flow] = *mBySentAt.begin();
@@ -66,12 +67,12 @@
       mBySentAt.emplace(aNow, flow);
       continue;
     }
-    Retry retry = std::move(it->second.mRetry);
+    RepeatedOffer retry = std::move(it->second.mRepeatedOffer);
     mWatched.erase(it);
     mSuspects[retry.mCandidates.front().mHost] = aNow + kSuspicionDuration;
     retry.mUnresponsive = retry.mCandidates.front().mTunnel;
     retry.mCandidates.erase(retry.mCandidates.begin());
-    if (++retry.mRetries > kMaxRetries) {
+    if (++retry.mRepeatedOffers > kMaxRepeatedOffers) {
       retry.mCandidates.clear();
     }
     timedOut.push_back(std::move(retry));
--- a/src/passthrough/PlacementWatch.h
+++ b/src/passthrough/PlacementWatch.h
@@ -43,7 +43,7 @@
    * to up to eight hosts. When packets were offered to all hosts in turn while
    * the whole system was slow, each packet of a caller became dozens, and their
    * load kept the system slow. */
-  static constexpr int kMaxRetries = 2;
+  static constexpr int kMaxRepeatedOffers = 2;
   /** How long an unresponsive host is tried last: a few heartbeats, by when
    * membership has detected the failure. */
   static constexpr Duration kSuspicionDuration = std::chrono::milliseconds(700);
@@ -56,7 +56,7 @@
    * unwatched. */
   static constexpr std::size_t kMaxWatched = 8192;
 
-  struct Retry
+  struct RepeatedOffer
   {
     FlowKey mFlow;
     SteeredPacket mSteered;
@@ -64,7 +64,7 @@
     /** Address of the host that did not answer. */
     Address mUnresponsive;
     /** Number of repeated offers. */
-    int mRetries = 0;
+    int mRepeatedOffers = 0;
   };
 
   /** Whether an earlier copy of an opening packet may have opened its flow. */
@@ -101,7 +101,7 @@
   /** Removes and returns the flows whose first candidate did not answer in
    * time. That candidate is suspected from now on and is not among the returned
    * candidates. */
-  std::vector<Retry> TakeTimedOut(Time aNow);
+  std::vector<RepeatedOffer> TakeTimedOut(Time aNow);
 
   /** When to call TakeTimedOut() next, if nothing happens before. */
   std::optional<Time> NextAt() const;
@@ -122,7 +122,7 @@
 private:
   struct Watched
   {
-    Retry mRetry;
+    RepeatedOffer mRepeatedOffer;
     Copy mCopy = Copy::First;
     /** Start of the timeout: when the packet was offered, or when its timeout
      * was restarted (see kStallTolerance). */
--- a/src/passthrough/SearchWalks.h
+++ b/src/passthrough/SearchPaths.h
@@ -19,23 +19,23 @@
  * of 10 Mbit/s, and the share of uploads in time fell from 99 to 54 of 100. */
 constexpr std::size_t kFanOutAgents = 2;
 
-/** Number of walks (see SearchWalk) that each of the kFanOutAgents agents
- * starts. A dead agent ends its walk and hides the hosts behind it: with 64
- * hosts in eight walks of eight, it hides four hosts on average. */
-constexpr std::size_t kWalksEach = 4;
+/** Number of paths (see SearchPath) that each of the kFanOutAgents agents
+ * starts. A dead agent ends its path and hides the hosts behind it: with 64
+ * hosts in eight paths of eight, it hides four hosts on average. */
+constexpr std::size_t kPathsPerFanOut = 4;
 
 /** A part of a search: the packet goes to mFirst and is forwarded along mOthers
  * until a host holds the flow. */
-struct SearchWalk
+struct SearchPath
 {
   Address mFirst;
   std::vector<Address> mOthers;
 };
 
-/** Distributes hosts round-robin over aCount walks, so that each of the first
- * aCount hosts heads a walk. Returns fewer walks if there are fewer hosts.
+/** Distributes hosts round-robin over aCount paths, so that each of the first
+ * aCount hosts heads a path. Returns fewer paths if there are fewer hosts.
  * Thread safe. */
-std::vector<SearchWalk> DealWalks(std::span<const Address> aHosts,
-                                  std::size_t aCount);
+std::vector<SearchPath> SplitSearch(std::span<const Address> aHosts,
+                                    std::size_t aCount);
 
 } // namespace heatherplank
--- a/src/passthrough/ServiceTime.h
+++ b/src/passthrough/ServiceTime.h
@@ -35,12 +35,12 @@
    * second doesn't make the host look slow afterwards. */
   static constexpr int kMaxStep = 4;
 
-  /** The current estimate; zero before the first Expect. */
+  /** The current estimate; zero before the first SetInitialEstimate. */
   Duration Get() const { return mMean; }
 
   /** Sets the initial estimate for a request that is about to be placed. No
    * effect once an answer was recorded. */
-  void Expect(Duration aTarget, bool aIsCold)
+  void SetInitialEstimate(Duration aTarget, bool aIsCold)
   {
     if (!mHasSample) {
       double share = kInitialTargetShare * (aIsCold ? kColdFactor : 1);
@@ -49,9 +49,9 @@
   }
 
   /** Records an answer. aAhead: other requests in progress when this one began.
-   * Ignored before the first Expect: such requests belong to flows from before
-   * a restart. */
-  void Learn(Duration aTook, std::uint32_t aAhead, std::uint32_t aSlots)
+   * Ignored before the first SetInitialEstimate: such requests belong to flows
+   * from before a restart. */
+  void RecordAnswer(Duration aTook, std::uint32_t aAhead, std::uint32_t aSlots)
   {
     if (mMean == Duration::zero()) {
       return;
@@ -62,7 +62,8 @@
     mMean += (work - mMean) / kMeanSamples;
   }
 
-  /** Call when the host restarted: Expect sets the estimate again. */
+  /** Call when the host restarted: SetInitialEstimate sets the estimate again.
+   */
   void Reset() { mHasSample = false; }
 
 private:
--- a/src/passthrough/SteerMessages.h
+++ b/src/passthrough/SteerMessages.h
@@ -20,7 +20,7 @@
   Search = 2,
   /** Returned to the balancer: the receiver of a Deliver lacks the flow. */
   NotHere = 3,
-  /** A Search that the receiver splits into concurrent SearchWalks. */
+  /** A Search that the receiver splits into concurrent SearchPaths. */
   FanOut = 4,
   Last = FanOut,
 };
@@ -32,7 +32,7 @@
   SteerPurpose mPurpose = SteerPurpose::Place;
   Importance mImportance = Importance::Normal;
   /** The sender found no less loaded host: accept the flow or refuse it. */
-  bool mMustTake = false;
+  bool mIsLastOffer = false;
   Duration mLatencyTarget{};
   /** The balancer that received the packet from the caller; agents report the
    * host of the flow to it. */
--- a/src/passthrough/StoreWatchDuty.cpp
+++ b/src/passthrough/StoreWatcherSelection.cpp
@@ -1,4 +1,4 @@
-#include "src/passthrough/StoreWatchDuty.h"
+#include "src/passthrough/StoreWatcherSelection.h"
 
 #include <algorithm>
 #include <tuple>
@@ -50,7 +50,7 @@
 
 } // namespace
 
-StoreWatchDuty::StoreWatchDuty(const Options& aOptions)
+StoreWatcherSelection::StoreWatcherSelection(const Options& aOptions)
   : mOptions(aOptions)
   , mConfirmationLifetime(Scale(
       aOptions.mPropagationTimeout,
@@ -60,12 +60,12 @@
 {
 }
 
-void StoreWatchDuty::OnConfirmed(Time aAt)
+void StoreWatcherSelection::OnConfirmed(Time aAt)
 {
   mConfirmedAt = std::max(mConfirmedAt.value_or(aAt), aAt);
 }
 
-std::optional<Duration> StoreWatchDuty::WatchDuration(
+std::optional<Duration> StoreWatcherSelection::WatchDuration(
   std::span<const Member> aOthers, bool aHasRoutes, bool aIsDocumentPending,
   Time aNow)
 {
@@ -81,9 +81,10 @@
   return Scale(mOptions.mPropagationTimeout, kWatchShare * factor);
 }
 
-bool StoreWatchDuty::ShouldWatch(std::span<const Member> aOthers,
-                                 bool aHasRoutes, bool aIsDocumentPending,
-                                 Time aNow) const
+bool StoreWatcherSelection::ShouldWatch(std::span<const Member> aOthers,
+                                        bool aHasRoutes,
+                                        bool aIsDocumentPending,
+                                        Time aNow) const
 {
   Duration age = aNow - mOptions.mStartedAt;
   if (!aHasRoutes) {
@@ -98,7 +99,7 @@
 /** Whether this balancer is one of the watchers: the balancers with the highest
  * score of each data centre, in the order of their scores, then the others, if
  * there are fewer data centres than watchers. */
-bool StoreWatchDuty::IsSelected(std::span<const Member> aOthers) const
+bool StoreWatcherSelection::IsSelected(std::span<const Member> aOthers) const
 {
   if (aOthers.size() < kSmallFleetSize) {
     return true;
--- a/src/passthrough/StoreWatchDuty.h
+++ b/src/passthrough/StoreWatcherSelection.h
@@ -26,7 +26,7 @@
  *
  * No I/O or clock access; not thread safe.
  */
-class StoreWatchDuty
+class StoreWatcherSelection
 {
 public:
   /** Tolerates two failures: one watcher is cut off along with its data centre,
@@ -55,7 +55,7 @@
     std::uint64_t mSeed = 1;
   };
 
-  explicit StoreWatchDuty(const Options& aOptions);
+  explicit StoreWatcherSelection(const Options& aOptions);
 
   /** Another balancer reports that the store confirmed at aAt the version that
    * is in force here. */
--- a/src/passthrough/WatchSchedule.cpp
+++ b/src/passthrough/WatchSchedule.cpp
@@ -7,7 +7,7 @@
 
 WatchSchedule::WatchSchedule(const Options& aOptions)
   : mOptions(aOptions)
-  , mBackoff(mOptions.mFirstPause, mOptions.mLongestPause, mOptions.mSeed)
+  , mBackoff(mOptions.mInitialBackoff, mOptions.mMaxBackoff, mOptions.mSeed)
 {
 }
 
@@ -59,7 +59,7 @@
     mBackoff.Reset();
     mNextAt = aNow;
   } else {
-    mNextAt = aNow + mOptions.mFirstPause + mBackoff.Next();
+    mNextAt = aNow + mOptions.mInitialBackoff + mBackoff.Next();
   }
   // The store reports a change when it happens, whenever the watch began.
   bool isWatchedChange = aIsChange && mVersion != 0;
--- a/src/passthrough/WatchSchedule.h
+++ b/src/passthrough/WatchSchedule.h
@@ -27,8 +27,8 @@
      * next call is then delayed: a store that returns at once would otherwise
      * be called in a tight loop. */
     Duration mMinWatchDuration = std::chrono::milliseconds(250);
-    Duration mFirstPause = std::chrono::milliseconds(100);
-    Duration mLongestPause = std::chrono::milliseconds(1500);
+    Duration mInitialBackoff = std::chrono::milliseconds(100);
+    Duration mMaxBackoff = std::chrono::milliseconds(1500);
     std::uint64_t mSeed = 1;
   };
 
--- a/src/process/StandstillWatch.h
+++ b/src/process/ProcessStallWatch.h
@@ -11,7 +11,7 @@
  * if none of its timeouts expired, since the steady clock does not count a
  * suspension. Not thread safe.
  */
-class StandstillWatch
+class ProcessStallWatch
 {
 public:
   /** Longer than the pauses of a scheduler with a 100 ms CPU quota period;
--- a/src/process/StatusSender.cpp
+++ b/src/process/StatusSender.cpp
@@ -64,10 +64,10 @@
   const auto& candidates = sameDataCentre.empty() ? all : sameDataCentre;
   std::uint32_t shard =
     StatusShardOf(mName, CountStatusShards(candidates.size()));
-  HostId keeper = ChooseStatusKeeper(shard, candidates);
+  HostId aggregator = ChooseStatusAggregator(shard, candidates);
   auto it = std::find_if(
     aBalancers.begin(), aBalancers.end(),
-    [&](const Member& aMember) { return aMember.mHost == keeper; });
+    [&](const Member& aMember) { return aMember.mHost == aggregator; });
   if (it == aBalancers.end()) {
     return std::nullopt;
   }
--- a/src/process/StatusSender.h
+++ b/src/process/StatusSender.h
@@ -15,7 +15,7 @@
 /** A status report and the balancer whose status board receives it. */
 struct AddressedReport
 {
-  Member mKeeper;
+  Member mStoringBalancer;
   StatusReport mReport;
 };
 
--- a/src/record/RunOnce.cpp
+++ b/src/record/RunOnce.cpp
@@ -209,8 +209,8 @@
   return true;
 }
 
-void RunOnce::Answered(const std::string& aKey, Nonce aNonce,
-                       std::string_view aAnswer, Time aNow)
+void RunOnce::OnAnswered(const std::string& aKey, Nonce aNonce,
+                         std::string_view aAnswer, Time aNow)
 {
   KeyState* state = FindAttempt(aKey, aNonce, Phase::Running);
   if (state != nullptr) {
@@ -218,7 +218,7 @@
   }
 }
 
-void RunOnce::LostSight(const std::string& aKey, Nonce aNonce, Time aNow)
+void RunOnce::OnOutcomeUnknown(const std::string& aKey, Nonce aNonce, Time aNow)
 {
   KeyState* state = FindAttempt(aKey, aNonce, Phase::Running);
   if (state != nullptr) {
@@ -226,7 +226,8 @@
   }
 }
 
-void RunOnce::RefusedByServer(const std::string& aKey, Nonce aNonce, Time aNow)
+void RunOnce::OnRefusedByServer(const std::string& aKey, Nonce aNonce,
+                                Time aNow)
 {
   KeyState* state = FindAttempt(aKey, aNonce, Phase::Running);
   if (state != nullptr) {
--- a/src/record/RunOnce.h
+++ b/src/record/RunOnce.h
@@ -39,13 +39,13 @@
   Duration mAnswerLinger = std::chrono::milliseconds(500);
   /** How long the outcome of a key is retained locally, once the platform has
    * stored it. */
-  Duration mKeepEnded = std::chrono::seconds(30);
+  Duration mEndedRetention = std::chrono::seconds(30);
   /** Interval between queries to a grant's holder, and how many may remain
    * unanswered in a row before the holder counts as unresponsive. */
   Duration mHolderQueryInterval = std::chrono::milliseconds(100);
   std::uint32_t mMaxUnansweredQueries = 4;
   /** Timeout for the replies of peers during a platform outage. */
-  Duration mPeerWait = std::chrono::milliseconds(100);
+  Duration mPeerTimeout = std::chrono::milliseconds(100);
 
   /** A change is sent again to a home that has not answered after this
    * interval. After this many tries the shard is written from this process. */
@@ -55,7 +55,7 @@
   Duration mHomeQueuedRetryInterval = std::chrono::milliseconds(400);
   /** A process that has run for this long confirms that a key unknown to it
    * never ran at its host. Callers must repeat a key sooner than that. */
-  Duration mVouchAfter = std::chrono::minutes(2);
+  Duration mConfirmAfter = std::chrono::minutes(2);
 
   // Switches for tests: each turns one guard off to show the failure that the
   // guard prevents.
@@ -99,26 +99,28 @@
    * nonce. */
   bool MayDispatch(const std::string& aKey, Nonce aNonce, Time aNow);
   /** The dispatched request ended with an answer. */
-  void Answered(const std::string& aKey, Nonce aNonce, std::string_view aAnswer,
-                Time aNow);
+  void OnAnswered(const std::string& aKey, Nonce aNonce,
+                  std::string_view aAnswer, Time aNow);
   /** The outcome of the dispatched request can't be determined. */
-  void LostSight(const std::string& aKey, Nonce aNonce, Time aNow);
+  void OnOutcomeUnknown(const std::string& aKey, Nonce aNonce, Time aNow);
   /** The backend server reported that it did not run the request and won't. */
-  void RefusedByServer(const std::string& aKey, Nonce aNonce, Time aNow);
+  void OnRefusedByServer(const std::string& aKey, Nonce aNonce, Time aNow);
 
   /** Answers another agent's query about a key; aNonce 0 matches any attempt.
    * The reply GivenUp is binding: that nonce is never dispatched afterwards. */
-  KeyReply OnQuestion(const std::string& aKey, Nonce aNonce,
+  KeyReply OnKeyQuery(const std::string& aKey, Nonce aNonce,
                       Incarnation aIncarnation, Time aNow) const;
-  /** The reply to AskHolder. */
-  void OnReply(const std::string& aKey, const KeyReply& aReply, Time aNow);
-  /** The result of AskPeers: the reply with the largest KeyKnowledge, and
+  /** The reply to HolderQuery. */
+  void OnHolderReply(const std::string& aKey, const KeyReply& aReply,
+                     Time aNow);
+  /** The result of PeerQuery: the reply with the largest KeyKnowledge, and
    * whether all peers replied. */
-  void OnPeers(const std::string& aKey, const KeyReply& aReply,
-               bool aAllAnswered, Time aNow);
+  void OnPeerReplies(const std::string& aKey, const KeyReply& aReply,
+                     bool aAllAnswered, Time aNow);
 
   /** Receives the changes that another agent sent to this host as the home. */
-  void OnWishes(const std::vector<ShardWish>& aWrites, Time aNow);
+  void OnPendingWrites(const std::vector<PendingShardWrite>& aWrites,
+                       Time aNow);
   /** Receives the outcomes of this agent's changes from a home. */
   void OnOutcomes(const std::vector<ShardOutcome>& aOutcomes,
                   Duration aRetryAfter, Time aNow);
@@ -216,7 +218,7 @@
   KeyState* Find(const std::string& aKey, Phase aPhase);
   bool CanConfirmNeverRan(Time aNow) const
   {
-    return aNow - mStartedAt >= mOptions.mVouchAfter;
+    return aNow - mStartedAt >= mOptions.mConfirmAfter;
   }
   void Drop(const std::string& aKey);
   KeyState* FindAttempt(const std::string& aKey, Nonce aNonce, Phase aPhase);
--- a/src/record/RunOnceActions.h
+++ b/src/record/RunOnceActions.h
@@ -105,42 +105,42 @@
   RunOnceReason mReason{};
 };
 
-/** Query the agent of the grant's host (OnQuestion there) and deliver its reply
- * (OnReply). Either message may be lost; the query is repeated. */
-struct AskHolder
+/** Query the agent of the grant's host (OnKeyQuery there) and deliver its reply
+ * (OnHolderReply). Either message may be lost; the query is repeated. */
+struct HolderQuery
 {
   std::string mKey;
   Grant mGrant;
 };
 
 /** Query the agents of all members of the service, including suspected ones,
- * with nonce 0, and deliver the combined replies (OnPeers). */
-struct AskPeers
+ * with nonce 0, and deliver the combined replies (OnPeerReplies). */
+struct PeerQuery
 {
   std::string mKey;
 };
 
 /** A pending write that is sent to the shard's home. */
-struct ShardWish
+struct PendingShardWrite
 {
   std::string mKey;
   ChangeKind mKind = ChangeKind::Claim;
   Grant mGrant;
   Nonce mReplaces = 0;
   /** With Claim: how long the holder waits for the grant. */
-  Duration mWithin{};
+  Duration mTimeout{};
 };
 
-/** Send pending writes to the agent of a shard's home (OnWishes there). They
- * may be lost or duplicated; unanswered ones are sent again. */
-struct AskHome
+/** Send pending writes to the agent of a shard's home (OnPendingWrites there).
+ * They may be lost or duplicated; unanswered ones are sent again. */
+struct SendToHome
 {
   HostId mHome;
-  std::vector<ShardWish> mWishes;
+  std::vector<PendingShardWrite> mPendingWrites;
 };
 
 /** Send the outcomes of an agent's pending writes to it (OnOutcomes there). */
-struct TellAgent
+struct ReplyToAgent
 {
   HostId mAgent;
   std::vector<ShardOutcome> mOutcomes;
@@ -149,10 +149,10 @@
 };
 
 using RunOnceAction = std::variant<StoreCall, Granted, Duplicate, NotRun,
-                                   Unknown, AskHolder, AskPeers>;
+                                   Unknown, HolderQuery, PeerQuery>;
 
 /** Messages between agents when shards have homes. */
-using HomeMessage = std::variant<AskHome, TellAgent>;
+using HomeMessage = std::variant<SendToHome, ReplyToAgent>;
 
 /** What a host knows of a key, in reply to a query. Where replies are combined,
  * the largest value is used. */
--- a/src/record/RunOnceHomes.cpp
+++ b/src/record/RunOnceHomes.cpp
@@ -45,7 +45,7 @@
  * This is safe since writes are conditional; homes only avoid conflicts. */
 void RunOnce::SendRemoteWrites(Time aNow)
 {
-  std::map<HostId, std::vector<ShardWish>> byHome;
+  std::map<HostId, std::vector<PendingShardWrite>> byHome;
   for (auto it = mRemoteWrites.begin(); it != mRemoteWrites.end();) {
     RemoteWrite& write = it->second;
     bool due = write.mSendAt <= aNow;
@@ -67,7 +67,7 @@
     ++it;
   }
   for (auto& [home, writes] : byHome) {
-    mHomeMessages.emplace_back(AskHome{ home, std::move(writes) });
+    mHomeMessages.emplace_back(SendToHome{ home, std::move(writes) });
   }
 }
 
@@ -75,10 +75,11 @@
  * change of the same agent. Each request names one nonce, and a claim replaces
  * only a nonce that its holder gave up. A claim that is written too late is for
  * a nonce that its agent no longer knows and then withdraws. */
-void RunOnce::OnWishes(const std::vector<ShardWish>& aWrites, Time aNow)
+void RunOnce::OnPendingWrites(const std::vector<PendingShardWrite>& aWrites,
+                              Time aNow)
 {
   std::vector<ShardOutcome> answers;
-  for (const ShardWish& it : aWrites) {
+  for (const PendingShardWrite& it : aWrites) {
     ShardOutcome outcome;
     outcome.mKey = it.mKey;
     outcome.mKind = it.mKind;
@@ -91,12 +92,12 @@
       answers.push_back(outcome);
       continue;
     }
-    if (isClaim && IsPlatformTooSlow(it.mKey, aNow + it.mWithin, aNow)) {
+    if (isClaim && IsPlatformTooSlow(it.mKey, aNow + it.mTimeout, aNow)) {
       outcome.mResult = ChangeResult::Slow;
       answers.push_back(outcome);
       continue;
     }
-    Time expiresAt = isClaim ? aNow + it.mWithin : Time::max();
+    Time expiresAt = isClaim ? aNow + it.mTimeout : Time::max();
     Time due = isClaim ? aNow : aNow + mOptions.mAnswerLinger;
     bool isNew = WriterOf(it.mKey).Enqueue(
       it.mKey, { it.mKind, it.mGrant, it.mReplaces, due, expiresAt });
@@ -121,7 +122,7 @@
   Duration retryAfter = mGate.IsOpen() ? mGate.RetryAfter(aNow) : Duration{};
   for (auto& [agent, outcomes] : byAgent) {
     mHomeMessages.emplace_back(
-      TellAgent{ agent, std::move(outcomes), retryAfter });
+      ReplyToAgent{ agent, std::move(outcomes), retryAfter });
   }
 }
 
--- a/src/record/RunOnceQueries.cpp
+++ b/src/record/RunOnceQueries.cpp
@@ -7,10 +7,10 @@
 {
   aState.mSince = aNow;
   ++aState.mUnansweredQueries;
-  mActions.emplace_back(AskHolder{ aKey, aState.mHolder });
+  mActions.emplace_back(HolderQuery{ aKey, aState.mHolder });
 }
 
-KeyReply RunOnce::OnQuestion(const std::string& aKey, Nonce aNonce,
+KeyReply RunOnce::OnKeyQuery(const std::string& aKey, Nonce aNonce,
                              Incarnation aIncarnation, Time aNow) const
 {
   // A process that started recently can't know whether the key ran here before.
@@ -36,8 +36,8 @@
   return { isUnclaimed ? unknown : KeyKnowledge::Running, {} };
 }
 
-void RunOnce::OnReply(const std::string& aKey, const KeyReply& aReply,
-                      Time aNow)
+void RunOnce::OnHolderReply(const std::string& aKey, const KeyReply& aReply,
+                            Time aNow)
 {
   KeyState* state = Find(aKey, Phase::QueryingHolder);
   if (state == nullptr) {
@@ -75,15 +75,15 @@
   aState.mPhase = Phase::QueryingPeers;
   aState.mReason = aReason;
   aState.mSince = aNow;
-  mActions.emplace_back(AskPeers{ aKey });
+  mActions.emplace_back(PeerQuery{ aKey });
 }
 
 /** Guards against: a key ran on another host, its caller repeats it here during
  * a platform outage, and is wrongly answered NotRun. NotRun requires that all
  * peers reply that they don't know the key, and holds for as long as they
  * retain keys. If a peer does not reply, the answer is Unknown. */
-void RunOnce::OnPeers(const std::string& aKey, const KeyReply& aReply,
-                      bool aAllAnswered, Time aNow)
+void RunOnce::OnPeerReplies(const std::string& aKey, const KeyReply& aReply,
+                            bool aAllAnswered, Time aNow)
 {
   KeyState* state = Find(aKey, Phase::QueryingPeers);
   if (state == nullptr) {
--- a/src/record/RunOnceSteps.cpp
+++ b/src/record/RunOnceSteps.cpp
@@ -103,7 +103,7 @@
       TickQueryingHolder(aKey, aState, aNow);
       break;
     case Phase::QueryingPeers:
-      if (aNow - aState.mSince >= mOptions.mPeerWait) {
+      if (aNow - aState.mSince >= mOptions.mPeerTimeout) {
         AnswerUnknownToAll(aState, RunOnceReason::PeersSilent);
         Drop(aKey);
       }
@@ -115,7 +115,8 @@
       DropExpiredWaiters(aState, true, aNow);
       break;
     case Phase::Ended:
-      if (aState.mRecorded && aNow - aState.mSince >= mOptions.mKeepEnded) {
+      if (aState.mRecorded &&
+          aNow - aState.mSince >= mOptions.mEndedRetention) {
         Drop(aKey);
       }
       break;
@@ -129,7 +130,7 @@
   bool hasWaiters = earliest != aState.mWaiters.end();
   bool shardUnread = !HasReadShard(aKey, aState);
   if (hasWaiters && shardUnread &&
-      aNow + mOptions.mPeerWait >= earliest->mDeadline) {
+      aNow + mOptions.mPeerTimeout >= earliest->mDeadline) {
     Withdraw(aKey, aState, aNow);
     StartQueryingPeers(aKey, aState, RunOnceReason::DeadlinePassed, aNow);
     return;
--- a/src/replay/Player.cpp
+++ b/src/replay/Player.cpp
@@ -87,7 +87,7 @@
   , mStart(Time{} + 1h)
   , mNow(mStart)
   , mRetries(aOptions.mRetryBudget)
-  , mPlatformReturns(aOptions.mSeed, aOptions.mGuards.mSpreadReturns)
+  , mPlatformReturns(aOptions.mSeed, aOptions.mGuards.mSpreadRetryTimes)
   , mExchangedAt(mStart)
 {
   mAdmission.mOrder = aOptions.mOrder;
@@ -136,7 +136,7 @@
   const RequestId id = ++mLast;
   mOngoing.emplace(id, aOngoing);
   if (NeverRepeats(aOngoing) && !mPlatformUp) {
-    const Duration wait = mPlatformReturns.Next(mNow, kPlatformRetry, 1ms);
+    const Duration wait = mPlatformReturns.NextWait(mNow, kPlatformRetry, 1ms);
     Refused(id, RefusalReason::PlatformDown, wait);
     return;
   }
@@ -183,7 +183,7 @@
     case ActionKind::Expire:
       Refused(id, aAction.mReason, aAction.mRetryAfter);
       break;
-    case ActionKind::HandOn: {
+    case ActionKind::Forward: {
       Ongoing& ongoing = mOngoing.at(id);
       ++ongoing.mHops;
       ++TallyOf(ongoing).mHandedOn;
@@ -284,11 +284,11 @@
     return aIt.mHost == mHosts[aHost]->mId;
   });
   const bool mayRetry =
-    advice.mPlace == RetryPlace::OtherHost && !others.empty();
+    advice.mTarget == RetryTarget::OtherHost && !others.empty();
   if (!mayRetry || !mRetries.TryRetry()) {
     Refused(aId,
             mayRetry ? RefusalReason::RetryBudget : RefusalReason::BackendShed,
-            mPlatformReturns.Next(mNow, 200ms, 1ms));
+            mPlatformReturns.NextWait(mNow, 200ms, 1ms));
     return;
   }
   auto& policy = *mHosts[aHost]->mBalancing;
--- a/src/replay/Player.h
+++ b/src/replay/Player.h
@@ -15,7 +15,7 @@
 #include "src/decide/BalancingPolicy.h"
 #include "src/decide/OutlierDetector.h"
 #include "src/decide/Retry.h"
-#include "src/decide/ReturnPlanner.h"
+#include "src/decide/RetryTimePlanner.h"
 #include "src/decide/SlowStart.h"
 #include "src/replay/Tally.h"
 
@@ -211,7 +211,7 @@
   std::unique_ptr<OutlierDetector> mOutlier;
   std::unique_ptr<SlowStart> mSlowStart;
   RetryBudget mRetries;
-  ReturnPlanner mPlatformReturns;
+  RetryTimePlanner mPlatformReturns;
   Time mExchangedAt;
   std::map<RequestId, Ongoing> mOngoing;
   std::map<std::uint64_t, std::size_t> mOwners;
--- a/src/replay/PlayerFleet.cpp
+++ b/src/replay/PlayerFleet.cpp
@@ -63,7 +63,7 @@
 void Player::Hint(std::size_t aHost, bool aHealthy)
 {
   if (mOutlier) {
-    mOutlier->OnHint(mHosts.at(aHost)->mId, aHealthy);
+    mOutlier->OnHealthHint(mHosts.at(aHost)->mId, aHealthy);
   }
 }
 
@@ -136,8 +136,8 @@
     if (!mOutlier) {
       continue;
     }
-    mOutlier->OnFigures(it->mId, it->mFigures, mNow);
-    const bool isOut = mOutlier->IsOut(it->mId, mNow);
+    mOutlier->OnLoadReport(it->mId, it->mFigures, mNow);
+    const bool isOut = mOutlier->IsEjected(it->mId, mNow);
     if (it->mWasOut && !isOut && mSlowStart) {
       mSlowStart->OnStart(it->mId, mNow);
     }
@@ -184,7 +184,7 @@
   candidate.mLoad = host.mFigures;
   candidate.mLoad.mAge = mNow - mExchangedAt;
   const bool isOut =
-    host.mIsDraining || (mOutlier && mOutlier->IsOut(host.mId, mNow));
+    host.mIsDraining || (mOutlier && mOutlier->IsEjected(host.mId, mNow));
   const double full = mSlowStart ? mSlowStart->Weight(host.mId, mNow) : 1.0;
   candidate.mWeight = isOut ? 0.0 : full;
   return candidate;
--- a/src/replay/TraceReader.cpp
+++ b/src/replay/TraceReader.cpp
@@ -59,9 +59,9 @@
   { "reservation", &AdmissionGuards::mReservation },
   { "fairness", &AdmissionGuards::mFairness },
   { "probe", &AdmissionGuards::mProbe },
-  { "spread_returns", &AdmissionGuards::mSpreadReturns },
+  { "spread_returns", &AdmissionGuards::mSpreadRetryTimes },
   { "standing_queue", &AdmissionGuards::mStandingQueue },
-  { "hand_on_hysteresis", &AdmissionGuards::mHandOnHysteresis },
+  { "hand_on_hysteresis", &AdmissionGuards::mForwardHysteresis },
 } };
 
 void TurnOff(AdmissionGuards& aGuards, JsonReader& aReader)
--- a/src/settings/ProcessSettings.cpp
+++ b/src/settings/ProcessSettings.cpp
@@ -42,8 +42,8 @@
     aReader.Integer("max_flows", 1, kMaxEntries, aOut.mMaxFlows));
   aOut.mMaxAnswerBytes = static_cast<std::uint32_t>(aReader.Integer(
     "max_answer_bytes", 65536, 1073741824, aOut.mMaxAnswerBytes));
-  aOut.mVouchAfterMs = static_cast<std::uint32_t>(
-    aReader.Integer("vouch_after_ms", 0, 3600000, aOut.mVouchAfterMs));
+  aOut.mConfirmAfterMs = static_cast<std::uint32_t>(
+    aReader.Integer("vouch_after_ms", 0, 3600000, aOut.mConfirmAfterMs));
   aOut.mDrainTimeoutMs = static_cast<std::uint32_t>(
     aReader.Integer("drain_timeout_ms", 0, 3600000, aOut.mDrainTimeoutMs));
 }
--- a/src/settings/ProcessSettings.h
+++ b/src/settings/ProcessSettings.h
@@ -59,7 +59,7 @@
   /** An agent that started less than this ago can't confirm that a key never
    * ran on its host: it may have in an earlier incarnation. Above the longest
    * deadline of a request that may not be repeated, ms. */
-  std::uint32_t mVouchAfterMs = 120000;
+  std::uint32_t mConfirmAfterMs = 120000;
   /** Maximum time that a planned stop waits for requests in progress, ms. */
   std::uint32_t mDrainTimeoutMs = 10000;
 };
--- a/src/status/StatusBoard.cpp
+++ b/src/status/StatusAggregator.cpp
@@ -1,4 +1,4 @@
-#include "src/status/StatusBoard.h"
+#include "src/status/StatusAggregator.h"
 
 #include <algorithm>
 #include <utility>
@@ -20,13 +20,13 @@
 
 } // namespace
 
-StatusBoard::StatusBoard(Options aOptions)
+StatusAggregator::StatusAggregator(Options aOptions)
   : mOptions(std::move(aOptions))
 {
 }
 
-void StatusBoard::Add(const std::map<std::string, PolicyFigures>& aFrom,
-                      std::map<std::string, PolicyFigures>& aTo)
+void StatusAggregator::Add(const std::map<std::string, PolicyFigures>& aFrom,
+                           std::map<std::string, PolicyFigures>& aTo)
 {
   for (const auto& [name, figures] : aFrom) {
     PolicyFigures& sum = aTo[name];
@@ -35,10 +35,11 @@
   }
 }
 
-void StatusBoard::OnReport(const StatusReport& aReport, std::int64_t aWallMs)
+void StatusAggregator::OnReport(const StatusReport& aReport,
+                                std::int64_t aWallMs)
 {
   ProcessStatus process = aReport.mProcess;
-  process.mSeenMs = aWallMs;
+  process.mLastReportMs = aWallMs;
   mProcesses[process.mName] = std::move(process);
   for (const auto& it : aReport.mFigures) {
     Add({ { it.mName, it } }, mFigures);
@@ -46,7 +47,7 @@
   mHasChanges = true;
 }
 
-std::optional<StatusRead> StatusBoard::Tick(Time aNow)
+std::optional<StatusRead> StatusAggregator::Tick(Time aNow)
 {
   if (mIsInRound || !mHasChanges || aNow < mNextRoundAt) {
     return std::nullopt;
@@ -62,9 +63,9 @@
  * whether the write took effect. Until its id appears there, later writes
  * include its figures and its id.
  */
-void StatusBoard::RemoveCompletedWrites(const StatusObject& aStored)
+void StatusAggregator::RemoveCompletedWrites(const StatusObject& aStored)
 {
-  if (!mOptions.mSettleLostAnswers) {
+  if (!mOptions.mResolveLostAnswers) {
     return;
   }
   std::erase_if(mPending, [&](const PendingWrite& aIt) {
@@ -72,22 +73,23 @@
   });
 }
 
-void StatusBoard::MergeProcesses(StatusObject& aStored, std::int64_t aWallMs)
+void StatusAggregator::MergeProcesses(StatusObject& aStored,
+                                      std::int64_t aWallMs)
 {
   for (const auto& [name, process] : mProcesses) {
     ProcessStatus& stored = aStored.mProcesses[name];
-    if (stored.mSeenMs <= process.mSeenMs) {
+    if (stored.mLastReportMs <= process.mLastReportMs) {
       stored = process;
     }
   }
   auto isExpired = [&](const auto& aIt) {
-    return aIt.second.mSeenMs + mOptions.mExpiryMs < aWallMs;
+    return aIt.second.mLastReportMs + mOptions.mExpiryMs < aWallMs;
   };
   std::erase_if(mProcesses, isExpired);
   std::erase_if(aStored.mProcesses, isExpired);
 }
 
-void StatusBoard::MergeFigures(StatusObject& aStored)
+void StatusAggregator::MergeFigures(StatusObject& aStored)
 {
   RemoveCompletedWrites(aStored);
   mIsLastPendingNew = mPending.size() < kMaxPendingWrites;
@@ -104,8 +106,8 @@
   }
 }
 
-std::optional<StatusWrite> StatusBoard::OnRead(const Result<Object>& aResult,
-                                               std::int64_t aWallMs)
+std::optional<StatusWrite> StatusAggregator::OnRead(
+  const Result<Object>& aResult, std::int64_t aWallMs)
 {
   bool isAbsent = !aResult && aResult.error().mKind == ErrorKind::NotFound;
   if (!aResult && !isAbsent) {
@@ -125,7 +127,7 @@
                                : WriteCondition::IfVersion(aResult->mVersion) };
 }
 
-void StatusBoard::OnWritten(const Result<std::uint64_t>& aResult)
+void StatusAggregator::OnWritten(const Result<std::uint64_t>& aResult)
 {
   mIsInRound = false;
   if (aResult) {
--- a/src/status/StatusBoard.h
+++ b/src/status/StatusAggregator.h
@@ -44,7 +44,7 @@
  * compete with grants and configuration for an overloaded or failing platform.
  * No I/O or clock access; not thread safe.
  */
-class StatusBoard
+class StatusAggregator
 {
 public:
   struct Options
@@ -57,10 +57,10 @@
     std::int64_t mExpiryMs = 3600000;
     /** Guard: before the figures of a write whose reply was lost are added
      * again, the object is checked for the id of that write. */
-    bool mSettleLostAnswers = true;
+    bool mResolveLostAnswers = true;
   };
 
-  explicit StatusBoard(Options aOptions);
+  explicit StatusAggregator(Options aOptions);
 
   /** Adds a report. aWallMs: milliseconds since the Unix epoch. */
   void OnReport(const StatusReport& aReport, std::int64_t aWallMs);
--- a/src/status/StatusObject.cpp
+++ b/src/status/StatusObject.cpp
@@ -21,8 +21,8 @@
   out["role"] = aProcess.mRole;
   out["data_centre"] = aProcess.mDataCentre;
   out["version"] = aProcess.mVersion;
-  out["since_ms"] = aProcess.mSinceMs;
-  out["seen_ms"] = aProcess.mSeenMs;
+  out["since_ms"] = aProcess.mInForceSinceMs;
+  out["seen_ms"] = aProcess.mLastReportMs;
   if (!aProcess.mAdmin.empty()) {
     out["admin"] = aProcess.mAdmin;
   }
@@ -37,8 +37,8 @@
   out.mDataCentre = aReader.RequiredString("data_centre");
   out.mVersion = static_cast<std::uint64_t>(
     aReader.RequiredInteger("version", 0, kMaxInteger));
-  out.mSinceMs = aReader.RequiredInteger("since_ms", 0, kMaxInteger);
-  out.mSeenMs = aReader.RequiredInteger("seen_ms", 0, kMaxInteger);
+  out.mInForceSinceMs = aReader.RequiredInteger("since_ms", 0, kMaxInteger);
+  out.mLastReportMs = aReader.RequiredInteger("seen_ms", 0, kMaxInteger);
   out.mAdmin = aReader.String("admin", "");
   return out;
 }
--- a/src/status/StatusObject.h
+++ b/src/status/StatusObject.h
@@ -21,9 +21,9 @@
   /** Version of the configuration in force in the process; 0 if none. */
   std::uint64_t mVersion = 0;
   /** When mVersion came into force; milliseconds since the Unix epoch. */
-  std::int64_t mSinceMs = 0;
+  std::int64_t mInForceSinceMs = 0;
   /** When the last report was received; milliseconds since the Unix epoch. */
-  std::int64_t mSeenMs = 0;
+  std::int64_t mLastReportMs = 0;
   /** Address of the admin port, as IP:port. */
   std::string mAdmin;
 
--- a/src/status/StatusPublisher.cpp
+++ b/src/status/StatusPublisher.cpp
@@ -20,7 +20,7 @@
 
 struct StatusPublisher::Impl
 {
-  Impl(ObjectStore& aStore, StatusBoard::Options aOptions)
+  Impl(ObjectStore& aStore, StatusAggregator::Options aOptions)
     : mStore(aStore)
     , mBoard(std::move(aOptions))
   {
@@ -28,7 +28,7 @@
 
   ObjectStore& mStore;
   std::mutex mLock;
-  StatusBoard mBoard;
+  StatusAggregator mBoard;
 };
 
 StatusPublisher::StatusPublisher(std::unique_ptr<Impl> aImpl)
@@ -39,7 +39,7 @@
 StatusPublisher::~StatusPublisher() = default;
 
 std::shared_ptr<StatusPublisher> StatusPublisher::Make(
-  ObjectStore& aStore, StatusBoard::Options aOptions)
+  ObjectStore& aStore, StatusAggregator::Options aOptions)
 {
   return std::shared_ptr<StatusPublisher>(
     new StatusPublisher(std::make_unique<Impl>(aStore, std::move(aOptions))));
--- a/src/status/StatusPublisher.h
+++ b/src/status/StatusPublisher.h
@@ -3,17 +3,18 @@
 #include <memory>
 
 #include "include/heatherplank/ObjectStore.h"
-#include "src/status/StatusBoard.h"
+#include "src/status/StatusAggregator.h"
 
 namespace heatherplank {
 
-/** Executes a StatusBoard's reads and writes on the platform. Thread safe. */
+/** Executes a StatusAggregator's reads and writes on the platform. Thread safe.
+ */
 class StatusPublisher : public std::enable_shared_from_this<StatusPublisher>
 {
 public:
   /** aStore must outlive the publisher and its outstanding calls. */
-  static std::shared_ptr<StatusPublisher> Make(ObjectStore& aStore,
-                                               StatusBoard::Options aOptions);
+  static std::shared_ptr<StatusPublisher> Make(
+    ObjectStore& aStore, StatusAggregator::Options aOptions);
   ~StatusPublisher();
 
   /** Adds a report of this or another process. */
--- a/src/status/StatusReader.cpp
+++ b/src/status/StatusReader.cpp
@@ -9,7 +9,7 @@
 {
   for (const auto& [name, process] : aFrom.mProcesses) {
     auto [it, isNew] = aTo.mProcesses.try_emplace(name, process);
-    if (!isNew && it->second.mSeenMs < process.mSeenMs) {
+    if (!isNew && it->second.mLastReportMs < process.mLastReportMs) {
       it->second = process;
     }
   }
--- a/src/status/StatusReporter.cpp
+++ b/src/status/StatusReporter.cpp
@@ -14,7 +14,7 @@
                                Time aNow)
 {
   mOptions.mProcess.mVersion = aVersion;
-  mOptions.mProcess.mSinceMs = aWallMs;
+  mOptions.mProcess.mInForceSinceMs = aWallMs;
   mChangedAt = mChangedAt.value_or(aNow);
 }
 
@@ -50,8 +50,8 @@
   return out;
 }
 
-HostId ChooseStatusKeeper(std::uint32_t aShard,
-                          std::span<const HostId> aBalancers)
+HostId ChooseStatusAggregator(std::uint32_t aShard,
+                              std::span<const HostId> aBalancers)
 {
   auto rank = [aShard](HostId aId) { return MixHash(aId.mValue, aShard); };
   auto best = std::ranges::max_element(aBalancers, {}, rank);
--- a/src/status/StatusReporter.h
+++ b/src/status/StatusReporter.h
@@ -8,7 +8,7 @@
 
 #include "include/heatherplank/Clock.h"
 #include "include/heatherplank/Types.h"
-#include "src/status/StatusBoard.h"
+#include "src/status/StatusAggregator.h"
 
 namespace heatherplank {
 
@@ -59,7 +59,7 @@
  * coordination; none if there is no balancer. While membership views differ,
  * two may aggregate a shard; their writes merge in the object. Thread safe.
  */
-HostId ChooseStatusKeeper(std::uint32_t aShard,
-                          std::span<const HostId> aBalancers);
+HostId ChooseStatusAggregator(std::uint32_t aShard,
+                              std::span<const HostId> aBalancers);
 
 } // namespace heatherplank
--- a/src/status/StatusView.cpp
+++ b/src/status/StatusView.cpp
@@ -119,7 +119,7 @@
   for (const auto& [name, process] : aStatus.mProcesses) {
     ProcessView view;
     view.mStatus = process;
-    view.mIsUnresponsive = process.mSeenMs + kUnresponsiveMs < aNowMs;
+    view.mIsUnresponsive = process.mLastReportMs + kUnresponsiveMs < aNowMs;
     if (process.mVersion < aAccepted.mVersion) {
       view.mLagMs = std::max<std::int64_t>(1, aNowMs - aAccepted.mTimeMs);
     }
@@ -139,8 +139,8 @@
                           { "role", it.mStatus.mRole },
                           { "data_centre", it.mStatus.mDataCentre },
                           { "version", it.mStatus.mVersion },
-                          { "since_ms", it.mStatus.mSinceMs },
-                          { "seen_ms", it.mStatus.mSeenMs },
+                          { "since_ms", it.mStatus.mInForceSinceMs },
+                          { "seen_ms", it.mStatus.mLastReportMs },
                           { "state", StateOf(it) },
                           { "lag_ms", it.mLagMs } });
   }
--- a/src/steer/BoundedTable.h
+++ b/src/steer/BoundedTable.h
@@ -35,7 +35,7 @@
     FlowKey mFlow;
     bool mInUse = false;
     bool mPinned = false;
-    Time mSeen;
+    Time mLastUsedAt;
     Value mValue;
   };
 
@@ -79,7 +79,7 @@
     entry.mFlow = aFlow;
     entry.mInUse = true;
     entry.mPinned = false;
-    entry.mSeen = aNow;
+    entry.mLastUsedAt = aNow;
     entry.mValue = Value{};
     mIndex.insert(entry);
     mOrder[0].push_back(entry);
@@ -87,7 +87,7 @@
   }
 
   /** Finds and touches, or inserts; null if absent and the table is full. */
-  Entry* Put(const FlowKey& aFlow, Time aNow)
+  Entry* FindOrInsert(const FlowKey& aFlow, Time aNow)
   {
     Entry* entry = Find(aFlow);
     if (entry == nullptr) {
@@ -101,7 +101,7 @@
   void Touch(Entry& aEntry, Time aNow)
   {
     auto& order = mOrder[aEntry.mPinned ? 1 : 0];
-    aEntry.mSeen = aNow;
+    aEntry.mLastUsedAt = aNow;
     order.splice(order.end(), order, order.iterator_to(aEntry));
   }
 
@@ -144,7 +144,7 @@
     for (bool pinned : { false, true }) {
       for (std::size_t n = 0; n < aLimit; ++n) {
         Entry* oldest = Oldest(pinned);
-        if (oldest == nullptr || oldest->mSeen >= aBefore) {
+        if (oldest == nullptr || oldest->mLastUsedAt >= aBefore) {
           break;
         }
         if (aGone(*oldest)) {
--- a/src/steer/FlowClaimer.cpp
+++ b/src/steer/FlowClaimer.cpp
@@ -37,7 +37,7 @@
   Batch& batch = mBatches[arbiter->mHost];
   batch.mTo = arbiter->mTunnel;
   batch.mClaim.mFlows.push_back(mState.Describe(aFlow));
-  if (batch.mClaim.mFlows.size() == kMaxClaims) {
+  if (batch.mClaim.mFlows.size() == kMaxFlowsPerClaim) {
     Send(batch.mClaim, batch.mTo, aOut);
   }
 }
@@ -64,7 +64,8 @@
 bool FlowClaimer::HandleClaim(const Peer& aFrom, ClaimedFlow& aClaimed,
                               Time aNow, OwnershipActions& aOut)
 {
-  OwnerTable::Entry* known = mState.mDirectory.Put(aClaimed.mFlow, aNow);
+  OwnerTable::Entry* known =
+    mState.mDirectory.FindOrInsert(aClaimed.mFlow, aNow);
   if (known == nullptr) {
     // The owner would be missed without a directory entry. For the lifetime of
     // entries, every unknown flow is therefore placed only after a query.
--- a/src/steer/Ownership.cpp
+++ b/src/steer/Ownership.cpp
@@ -328,7 +328,7 @@
 {
   const OwnershipOptions& options = mState.mOptions;
   mState.mFlows.Expire(
-    aNow - options.mFlowIdle, aNow, [&](FlowTable::Entry& aFlow) {
+    aNow - options.mFlowIdleTimeout, aNow, [&](FlowTable::Entry& aFlow) {
       bool isIdle = aFlow.mValue.mActiveRequests == 0 && !aFlow.mValue.mMoving;
       if (isIdle) {
         ++mState.mCounters[OwnershipCount::FlowsExpired];
--- a/src/steer/OwnershipCounters.h
+++ b/src/steer/OwnershipCounters.h
@@ -36,7 +36,7 @@
   /** Times that the lease expired. */
   Lapses,
   /** Flows that were released because another host owns them. */
-  FlowsLetGo,
+  FlowsReleased,
   FlowsExpired,
   /** Flows that were never answered and were evicted for new ones. */
   FlowsEvicted,
--- a/src/steer/OwnershipRounds.cpp
+++ b/src/steer/OwnershipLookups.cpp
@@ -85,7 +85,8 @@
   }
   Time placedUntil =
     aResult.mJustPlaced ? aNow + mState.mOptions.mSettle : Time{};
-  if (OwnerTable::Entry* entry = mState.mDirectory.Put(aResult.mFlow, aNow)) {
+  if (OwnerTable::Entry* entry =
+        mState.mDirectory.FindOrInsert(aResult.mFlow, aNow)) {
     entry->mValue = { aResult.mOwner, aResult.mEpoch, aNow, placedUntil, {},
                       aResult.mMoves };
   }
@@ -136,7 +137,7 @@
                             const LookupResult& aResult, Time aNow,
                             OwnershipActions& aOut)
 {
-  ++mState.mCounters[OwnershipCount::FlowsLetGo];
+  ++mState.mCounters[OwnershipCount::FlowsReleased];
   // A reconfirmation that is still in progress would revive the flow.
   auto ended = mLookups.EndWithOwner(aResult.mFlow, aResult.mOwner,
                                      aResult.mEpoch, aResult.mMoves);
@@ -189,7 +190,7 @@
   bool isSelf = owner != nullptr && owner->mHost == mState.mSelf.mHost;
   OwnerTable::Entry* entry = nullptr;
   if (owner != nullptr && !isSelf) {
-    entry = mState.mDirectory.Put(aFlow, aNow);
+    entry = mState.mDirectory.FindOrInsert(aFlow, aNow);
   }
   if (entry != nullptr) {
     Peer to = ToPeer(*owner);
--- a/src/steer/OwnershipMessageHandlers.cpp
+++ b/src/steer/OwnershipMessageHandlers.cpp
@@ -152,7 +152,7 @@
   }
   // Without the promise, this host could adopt the flow right after its reply
   // that no host owns it, while the sender of the query adopts it too.
-  PromiseTable::Entry* entry = mState.mPromises.Put(aFlow, aNow);
+  PromiseTable::Entry* entry = mState.mPromises.FindOrInsert(aFlow, aNow);
   if (entry == nullptr) {
     ++mState.mCounters[OwnershipCount::PromisesFull];
     return false;
@@ -221,7 +221,7 @@
       continue;
     }
     if (!it.mAccepted) {
-      ++mState.mCounters[OwnershipCount::FlowsLetGo];
+      ++mState.mCounters[OwnershipCount::FlowsReleased];
       auto ended = mLookups.EndWithOwner(it.mFlow, aAck.mFrom, 0, 0);
       if (ended) {
         RefuseHeld(*ended, OwnershipRefusal::Moving,
@@ -359,9 +359,10 @@
     return nullptr;
   }
   const OwnershipOptions& options = mState.mOptions;
-  bool isOver = entry->mSeen + options.mSettle + options.mQueryTimeout <= aNow;
-  bool isGone = mState.mViews.StatusOf(entry->mValue.mTo, entry->mSeen, aNow) ==
-                PeerStatus::Gone;
+  bool isOver =
+    entry->mLastUsedAt + options.mSettle + options.mQueryTimeout <= aNow;
+  bool isGone = mState.mViews.StatusOf(entry->mValue.mTo, entry->mLastUsedAt,
+                                       aNow) == PeerStatus::Gone;
   if (isOver || isGone) {
     mState.mPromises.Erase(*entry);
     return nullptr;
--- a/src/steer/OwnershipMessages.h
+++ b/src/steer/OwnershipMessages.h
@@ -85,7 +85,7 @@
 };
 
 /** Limit of flows in one Claim, so that it fits into a datagram. */
-constexpr std::size_t kMaxClaims = 16;
+constexpr std::size_t kMaxFlowsPerClaim = 16;
 
 /** Notifies the arbiter of these flows that the sender owns them. */
 struct Claim
--- a/src/steer/OwnershipOptions.h
+++ b/src/steer/OwnershipOptions.h
@@ -66,7 +66,7 @@
   /** Interval between attempts of a claim or a hand-off. */
   Duration mRetryInterval = std::chrono::milliseconds(150);
   /** A flow without packets is dropped after this. */
-  Duration mFlowIdle = std::chrono::seconds(120);
+  Duration mFlowIdleTimeout = std::chrono::seconds(120);
   /** An arbiter's entry expires after this without packets or claims. */
   Duration mDirectoryIdleTimeout = std::chrono::seconds(600);
   /** Interval at which owners repeat their claims; well below
--- a/src/steer/OwnershipState.cpp
+++ b/src/steer/OwnershipState.cpp
@@ -119,7 +119,9 @@
     ++mCounters[OwnershipCount::MovedEvicted];
     mMoved.Erase(*mMoved.Oldest());
   }
-  mMoved.Put(aFlow, aNow)->mValue = { aTo, aEpoch, aNow, {}, {}, aMoves };
+  mMoved.FindOrInsert(aFlow, aNow)->mValue = {
+    aTo, aEpoch, aNow, {}, {}, aMoves
+  };
 }
 
 void OwnershipState::Refuse(const PacketEvent& aPacket,
--- a/src/steer/ServiceView.cpp
+++ b/src/steer/ServiceView.cpp
@@ -41,8 +41,8 @@
   return out;
 }
 
-std::vector<const Member*> ServiceView::RankedDeep(std::uint64_t aFlowHash,
-                                                   std::size_t aCount) const
+std::vector<const Member*> ServiceView::RankedByScan(std::uint64_t aFlowHash,
+                                                     std::size_t aCount) const
 {
   std::vector<const Member*> out;
   for (std::uint16_t it : mRanks.BestByScan(aFlowHash, aCount)) {
--- a/src/steer/ServiceView.h
+++ b/src/steer/ServiceView.h
@@ -57,8 +57,8 @@
   /** The best aCount members that may own a flow, without the limit of
    * kRankDepth: the members to query if those of Ranked do not own it. Scans
    * all members. */
-  std::vector<const Member*> RankedDeep(std::uint64_t aFlowHash,
-                                        std::size_t aCount) const;
+  std::vector<const Member*> RankedByScan(std::uint64_t aFlowHash,
+                                          std::size_t aCount) const;
 
   /** The best aCount members that may adopt a new flow; empty if none may.
    * Precondition: aCount <= kRankDepth.
--- a/src/steer/Steering.cpp
+++ b/src/steer/Steering.cpp
@@ -11,7 +11,7 @@
       return "unknown_service";
     case SteerRefusal::NoMember:
       return "no_member";
-    case SteerRefusal::HostSilent:
+    case SteerRefusal::HostUnresponsive:
       return "host_silent";
   }
   return "unknown";
--- a/src/steer/Steering.h
+++ b/src/steer/Steering.h
@@ -22,7 +22,7 @@
   /** The service has no member that may adopt a new flow. */
   NoMember,
   /** The flow's host is unresponsive for a short time: it may be stalled. */
-  HostSilent,
+  HostUnresponsive,
 };
 
 /** The name of a reason in counters and replies. */
--- a/src/store/SyncObjectStore.cpp
+++ b/src/store/SyncObjectStore.cpp
@@ -56,10 +56,11 @@
 Result<T> CallWithRetries(const SyncObjectStore::Options& aOptions,
                           RetryPolicy aPolicy, Start aStart)
 {
-  Backoff backoff(aOptions.mFirstPause, aOptions.mLongestPause, aOptions.mSeed);
+  Backoff backoff(aOptions.mInitialBackoff, aOptions.mMaxBackoff,
+                  aOptions.mSeed);
   for (unsigned attempt = 1;; ++attempt) {
     Result<T> result = StartCall<T>(aStart).get();
-    if (result || attempt >= aOptions.mAttempts ||
+    if (result || attempt >= aOptions.mMaxAttempts ||
         !MayRetry(result.error(), aPolicy)) {
       return aPolicy == RetryPolicy::Always
                ? TimeoutToUnavailable(std::move(result))
--- a/src/store/SyncObjectStore.h
+++ b/src/store/SyncObjectStore.h
@@ -23,9 +23,9 @@
   struct Options
   {
     /** Attempts per call, the first included. */
-    unsigned mAttempts = 6;
-    Duration mFirstPause = std::chrono::milliseconds(50);
-    Duration mLongestPause = std::chrono::seconds(1);
+    unsigned mMaxAttempts = 6;
+    Duration mInitialBackoff = std::chrono::milliseconds(50);
+    Duration mMaxBackoff = std::chrono::seconds(1);
     std::uint64_t mSeed = 1;
     /** Waits between attempts; tests replace it to avoid sleeping. */
     std::function<void(Duration)> mPause;
--- a/src/wire/HomeCodec.cpp
+++ b/src/wire/HomeCodec.cpp
@@ -52,15 +52,15 @@
 }
 
 flatbuffers::Offset<wire::ShardWish> ToWire(
-  flatbuffers::FlatBufferBuilder& aBuilder, const ShardWish& aWish)
+  flatbuffers::FlatBufferBuilder& aBuilder, const PendingShardWrite& aWrite)
 {
-  auto key = aBuilder.CreateString(aWish.mKey);
-  auto answer = AnswerToWire(aBuilder, aWish.mGrant.mAnswer);
+  auto key = aBuilder.CreateString(aWrite.mKey);
+  auto answer = AnswerToWire(aBuilder, aWrite.mGrant.mAnswer);
   return wire::CreateShardWish(
-    aBuilder, key, static_cast<std::uint8_t>(aWish.mKind),
-    aWish.mGrant.mHost.mValue, aWish.mGrant.mIncarnation, aWish.mGrant.mNonce,
-    aWish.mGrant.mAnswered, answer, aWish.mReplaces,
-    ToMilliseconds(aWish.mWithin));
+    aBuilder, key, static_cast<std::uint8_t>(aWrite.mKind),
+    aWrite.mGrant.mHost.mValue, aWrite.mGrant.mIncarnation,
+    aWrite.mGrant.mNonce, aWrite.mGrant.mAnswered, answer, aWrite.mReplaces,
+    ToMilliseconds(aWrite.mTimeout));
 }
 
 flatbuffers::Offset<wire::ShardOutcome> ToWire(
@@ -76,19 +76,19 @@
     present.mIncarnation, present.mNonce, present.mAnswered, answer);
 }
 
-ShardWish FromWire(const wire::ShardWish& aFrom)
+PendingShardWrite FromWire(const wire::ShardWish& aFrom)
 {
-  ShardWish wish;
-  wish.mKey = aFrom.key()->str();
-  wish.mKind = static_cast<ChangeKind>(aFrom.kind());
-  wish.mGrant = { { aFrom.host() },
-                  aFrom.incarnation(),
-                  aFrom.nonce(),
-                  aFrom.answered(),
-                  AnswerFromWire(aFrom.answer()) };
-  wish.mReplaces = aFrom.replaces();
-  wish.mWithin = std::chrono::milliseconds(aFrom.within_ms());
-  return wish;
+  PendingShardWrite write;
+  write.mKey = aFrom.key()->str();
+  write.mKind = static_cast<ChangeKind>(aFrom.kind());
+  write.mGrant = { { aFrom.host() },
+                   aFrom.incarnation(),
+                   aFrom.nonce(),
+                   aFrom.answered(),
+                   AnswerFromWire(aFrom.answer()) };
+  write.mReplaces = aFrom.replaces();
+  write.mTimeout = std::chrono::milliseconds(aFrom.within_ms());
+  return write;
 }
 
 ShardOutcome FromWire(const wire::ShardOutcome& aFrom)
@@ -116,15 +116,15 @@
 
 } // namespace
 
-Bytes EncodePayload(const ShardWishes& aMessage)
+Bytes EncodePayload(const PendingShardWrites& aMessage)
 {
   flatbuffers::FlatBufferBuilder builder;
-  std::vector<flatbuffers::Offset<wire::ShardWish>> wishes;
-  wishes.reserve(aMessage.mWishes.size());
-  for (const ShardWish& it : aMessage.mWishes) {
-    wishes.push_back(ToWire(builder, it));
+  std::vector<flatbuffers::Offset<wire::ShardWish>> writes;
+  writes.reserve(aMessage.mPendingWrites.size());
+  for (const PendingShardWrite& it : aMessage.mPendingWrites) {
+    writes.push_back(ToWire(builder, it));
   }
-  auto all = builder.CreateVector(wishes);
+  auto all = builder.CreateVector(writes);
   builder.Finish(
     wire::CreateShardWishes(builder, aMessage.mService.mValue, all));
   return FinishedBytes(builder);
@@ -145,19 +145,19 @@
   return FinishedBytes(builder);
 }
 
-Result<ShardWishes> DecodeShardWishes(ByteView aPayload)
+Result<PendingShardWrites> DecodePendingShardWrites(ByteView aPayload)
 {
   auto read = ReadRoot<wire::ShardWishes>(aPayload, "shard wishes");
   if (!read) {
     return tl::unexpected(read.error());
   }
-  ShardWishes out;
+  PendingShardWrites out;
   out.mService = { (*read)->service_id() };
   for (const wire::ShardWish* it : *(*read)->wishes()) {
     if (!IsKnownKind(it->kind())) {
       return MalformedMessage("shard wish");
     }
-    out.mWishes.push_back(FromWire(*it));
+    out.mPendingWrites.push_back(FromWire(*it));
   }
   return out;
 }
--- a/src/wire/HomeCodec.h
+++ b/src/wire/HomeCodec.h
@@ -9,14 +9,16 @@
 
 namespace heatherplank {
 
-/** Wire form of the AskHome action, for RunOnce::OnWishes at the home. */
-struct ShardWishes
+/** Wire form of the SendToHome action, for RunOnce::OnPendingWrites at the
+ * home. */
+struct PendingShardWrites
 {
   ServiceId mService;
-  std::vector<ShardWish> mWishes;
+  std::vector<PendingShardWrite> mPendingWrites;
 };
 
-/** Wire form of the TellAgent action, for the agent's RunOnce::OnOutcomes. */
+/** Wire form of the ReplyToAgent action, for the agent's RunOnce::OnOutcomes.
+ */
 struct ShardOutcomes
 {
   ServiceId mService;
@@ -25,12 +27,12 @@
 };
 
 /** Encodes the payload of a frame; the caller adds the header. */
-Bytes EncodePayload(const ShardWishes& aMessage);
+Bytes EncodePayload(const PendingShardWrites& aMessage);
 Bytes EncodePayload(const ShardOutcomes& aMessage);
 
 /** Decodes a payload; Malformed if it does not verify, or holds an unknown
  * change kind or result. */
-Result<ShardWishes> DecodeShardWishes(ByteView aPayload);
+Result<PendingShardWrites> DecodePendingShardWrites(ByteView aPayload);
 Result<ShardOutcomes> DecodeShardOutcomes(ByteView aPayload);
 
 } // namespace heatherplank
--- a/src/wire/KeyCodec.h
+++ b/src/wire/KeyCodec.h
@@ -10,8 +10,8 @@
 
 namespace heatherplank {
 
-/** Query to another agent about a run-once key. AskHolder sends it with the
- * grant's nonce and incarnation, AskPeers with 0 for both. */
+/** Query to another agent about a run-once key. HolderQuery sends it with the
+ * grant's nonce and incarnation, PeerQuery with 0 for both. */
 struct KeyQuestion
 {
   /** Query number chosen by the sender; the reply returns it. */
@@ -22,7 +22,7 @@
   Incarnation mIncarnation = 0;
 };
 
-/** Reply to a KeyQuestion: the result of RunOnce::OnQuestion. */
+/** Reply to a KeyQuestion: the result of RunOnce::OnKeyQuery. */
 struct KeyAnswer
 {
   std::uint64_t mTicket = 0;
--- a/src/wire/LoadCodec.cpp
+++ b/src/wire/LoadCodec.cpp
@@ -24,8 +24,8 @@
   builder.Finish(wire::CreateLoad(
     builder, aMessage.mHost.mValue, aMessage.mIncarnation, load.mQueued,
     load.mBusy, load.mSlots, static_cast<std::uint64_t>(latency),
-    aMessage.mSequence, static_cast<std::uint64_t>(service), load.mFailing,
-    load.mResults));
+    aMessage.mSequence, static_cast<std::uint64_t>(service), load.mFailureRate,
+    load.mResultCount));
   return EncodeDatagram(MessageKind::Load, Finished(builder));
 }
 
@@ -51,8 +51,8 @@
   message.mLoad.mSlots = from.slots();
   message.mLoad.mLatency = microseconds(from.latency_us());
   message.mLoad.mServiceTime = microseconds(from.service_time_us());
-  message.mLoad.mFailing = from.failing();
-  message.mLoad.mResults = from.results();
+  message.mLoad.mFailureRate = from.failing();
+  message.mLoad.mResultCount = from.results();
   return message;
 }
 
--- a/src/wire/MembershipCodec.cpp
+++ b/src/wire/MembershipCodec.cpp
@@ -39,7 +39,7 @@
            control.ip_high(),
            control.ip_low(),
            aRecord.mRevision,
-           aRecord.mBeat,
+           aRecord.mHeartbeatNumber,
            ToMilliseconds(aRecord.mAge),
            member.mSlots,
            member.mWeight,
@@ -78,7 +78,7 @@
       aFrom.control_ip_high(), aFrom.control_ip_low(), aFrom.control_port()))
   };
   record.mRevision = aFrom.revision();
-  record.mBeat = aFrom.beat();
+  record.mHeartbeatNumber = aFrom.beat();
   record.mVerdict = static_cast<Verdict>(aFrom.verdict());
   record.mAge = std::chrono::milliseconds(aFrom.age_ms());
   return record;
@@ -150,10 +150,11 @@
   flatbuffers::FlatBufferBuilder builder;
   auto records = RecordsToWire(builder, aMessage.mRecords);
   return FinishPayload(
-    builder, wire::CreateMemberDelta(
-               builder, static_cast<std::uint8_t>(aMessage.mTable),
-               aMessage.mVersion, aMessage.mTree, aMessage.mIsComplete,
-               aMessage.mAnswersBeat, records, aMessage.mAsks));
+    builder,
+    wire::CreateMemberDelta(builder, static_cast<std::uint8_t>(aMessage.mTable),
+                            aMessage.mVersion, aMessage.mTree,
+                            aMessage.mIsComplete, aMessage.mAnswersHeartbeat,
+                            records, aMessage.mRequestsHeartbeat));
 }
 
 Bytes EncodePayload(const MemberDigest& aMessage)
@@ -215,8 +216,8 @@
   out.mVersion = from.version();
   out.mTree = from.tree();
   out.mIsComplete = from.is_complete();
-  out.mAnswersBeat = from.answers_beat();
-  out.mAsks = from.asks();
+  out.mAnswersHeartbeat = from.answers_beat();
+  out.mRequestsHeartbeat = from.asks();
   if (!IsKnownTable(from.table_id()) ||
       !ReadRecords(aPayload, *from.records(), out.mRecords)) {
     return MalformedMessage("member delta");
--- a/src/wire/PassthroughCodec.cpp
+++ b/src/wire/PassthroughCodec.cpp
@@ -68,7 +68,7 @@
   out.add_service_id(aMessage.mService.mValue);
   out.add_purpose(static_cast<std::uint8_t>(aMessage.mPurpose));
   out.add_importance(static_cast<std::uint8_t>(aMessage.mImportance));
-  out.add_must_take(aMessage.mMustTake);
+  out.add_must_take(aMessage.mIsLastOffer);
   out.add_latency_target_ms(static_cast<std::uint32_t>(
     duration_cast<milliseconds>(aMessage.mLatencyTarget).count()));
   out.add_ingress(&ingress);
@@ -103,7 +103,7 @@
   out.mService = { in.service_id() };
   out.mPurpose = static_cast<SteerPurpose>(in.purpose());
   out.mImportance = static_cast<Importance>(in.importance());
-  out.mMustTake = in.must_take();
+  out.mIsLastOffer = in.must_take();
   out.mLatencyTarget = milliseconds(in.latency_target_ms());
   out.mIngress = FromWire(*in.ingress());
   if (in.candidates() != nullptr) {
--- a/src/wire/StatusCodec.cpp
+++ b/src/wire/StatusCodec.cpp
@@ -170,7 +170,7 @@
   out.add_data_centre(dataCentre);
   out.add_admin(admin);
   out.add_version(process.mVersion);
-  out.add_since_ms(process.mSinceMs);
+  out.add_since_ms(process.mInForceSinceMs);
   out.add_figures(figures);
   builder.Finish(out.Finish());
   ByteView view = Finished(builder);
@@ -196,7 +196,7 @@
   out.mProcess.mDataCentre = from.data_centre()->str();
   out.mProcess.mAdmin = from.admin() != nullptr ? from.admin()->str() : "";
   out.mProcess.mVersion = from.version();
-  out.mProcess.mSinceMs = from.since_ms();
+  out.mProcess.mInForceSinceMs = from.since_ms();
   if (from.figures() == nullptr) {
     return out;
   }
--- a/src/wire/StatusCodec.h
+++ b/src/wire/StatusCodec.h
@@ -1,6 +1,6 @@
 #pragma once
 
-#include "src/status/StatusBoard.h"
+#include "src/status/StatusAggregator.h"
 #include "src/wire/Frame.h"
 
 namespace heatherplank {
--- a/src/wire/SteerCodec.cpp
+++ b/src/wire/SteerCodec.cpp
@@ -145,7 +145,7 @@
 template<typename Out, typename From>
 Result<OwnershipMessage> ReadClaims(const From& aFrom)
 {
-  if (aFrom.flows()->size() > kMaxClaims) {
+  if (aFrom.flows()->size() > kMaxFlowsPerClaim) {
     return MalformedMessage("claim (too many flows)");
   }
   return Out{ FromWire(*aFrom.from()), FromWire(*aFrom.flows()) };
--- a/src/wire/SteerCodec.h
+++ b/src/wire/SteerCodec.h
@@ -21,9 +21,9 @@
 Bytes EncodeOwnershipMessage(const OwnershipMessage& aMessage);
 
 /** Decodes the payload of a frame or datagram. Malformed if it does not verify,
- * or holds values out of range or more than kMaxClaims flows. The state of a
- * HandOff is a view into aPayload. Precondition: IsOwnershipMessage(aKind).
- * Thread safe.
+ * or holds values out of range or more than kMaxFlowsPerClaim flows. The state
+ * of a HandOff is a view into aPayload. Precondition:
+ * IsOwnershipMessage(aKind). Thread safe.
  */
 Result<OwnershipMessage> DecodeOwnershipMessage(MessageKind aKind,
                                                 ByteView aPayload);
--- a/tests/AdmissionDriver.h
+++ b/tests/AdmissionDriver.h
@@ -126,7 +126,7 @@
         return "dispatched";
       case ActionKind::Refuse:
         return "refused: " + std::string(ToString(action->mReason));
-      case ActionKind::HandOn:
+      case ActionKind::Forward:
         return "forwarded";
       case ActionKind::Expire:
         return "expired";
--- a/tests/AdmissionTest.cpp
+++ b/tests/AdmissionTest.cpp
@@ -207,7 +207,7 @@
 {
   for (bool on : { true, false }) {
     auto options = ThreeClasses();
-    options.mGuards.mSpreadReturns = on;
+    options.mGuards.mSpreadRetryTimes = on;
     AdmissionDriver host(options);
     host.TrainServiceTime(kChecks, 50ms);
     std::vector<Duration> retryAfters;
@@ -272,10 +272,10 @@
     host.mActions.clear();
     host.mPolicy->OnDrain(host.mNow, host.mActions);
     CHECK_EQUAL(2, Count(host.mActions,
-                         withPeer ? ActionKind::HandOn : ActionKind::Refuse));
+                         withPeer ? ActionKind::Forward : ActionKind::Refuse));
     CHECK_EQUAL(2, host.mPolicy->Load().mBusy);
     auto lateArrival = host.Send(kChecks);
-    CHECK_TRUE(host.HasAction(lateArrival, withPeer ? ActionKind::HandOn
+    CHECK_TRUE(host.HasAction(lateArrival, withPeer ? ActionKind::Forward
                                                     : ActionKind::Refuse));
   }
 }
@@ -296,7 +296,7 @@
     host.Send(kChecks, caller);
   }
   host.ReportOneIdlePeer();
-  const auto forwarded = Count(host.mActions, ActionKind::HandOn);
+  const auto forwarded = Count(host.mActions, ActionKind::Forward);
   CHECK_TRUE(forwarded >= 1 && forwarded <= 2);
 }
 
@@ -304,7 +304,7 @@
 {
   for (bool on : { true, false }) {
     auto options = ThreeClasses();
-    options.mGuards.mHandOnHysteresis = on;
+    options.mGuards.mForwardHysteresis = on;
     AdmissionDriver host(options);
     host.TrainServiceTime(kChecks, 20ms);
     for (std::uint64_t i = 0; i < 14; ++i) {
@@ -318,7 +318,7 @@
       host.Send(request);
     }
     host.ReportOneIdlePeer();
-    CHECK_EQUAL(on, Count(host.mActions, ActionKind::HandOn) == 0);
+    CHECK_EQUAL(on, Count(host.mActions, ActionKind::Forward) == 0);
   }
 }
 
--- a/tests/AgentMembershipTest.cpp
+++ b/tests/AgentMembershipTest.cpp
@@ -58,7 +58,7 @@
   void AnswerHeartbeat(std::uint32_t aNumber)
   {
     MemberDelta answer;
-    answer.mAnswersBeat = aNumber;
+    answer.mAnswersHeartbeat = aNumber;
     mAgent->OnMessage(answer, mNow);
   }
 };
--- a/tests/CandidateOrderTest.cpp
+++ b/tests/CandidateOrderTest.cpp
@@ -72,7 +72,7 @@
 TEST(CandidateOrder, SearchIsBounded)
 {
   auto view = MakeServiceView({ 1 }, 1, Hosts(200));
-  CHECK_EQUAL(kMostSearched, OrderForSearch(*view, 5, From("a")).size());
+  CHECK_EQUAL(kMaxSearched, OrderForSearch(*view, 5, From("a")).size());
 }
 
 // A power loss stops most VMs, and flows are opened on the first forty hosts
--- a/tests/ConfigurationStoreTest.cpp
+++ b/tests/ConfigurationStoreTest.cpp
@@ -145,7 +145,7 @@
   RaceWith([&] { ben.Change(SetSlots("docs", 9)); });
   auto done = ana.Change(SetSlots("desk", 5));
   CHECK_TRUE(done.has_value());
-  CHECK_TRUE(done->mRebased);
+  CHECK_TRUE(done->mMerged);
   auto now = ana.Now();
   LONGS_EQUAL(3, now.mVersion);
   LONGS_EQUAL(9, Find(now, "docs").mSlotsPerHost);
@@ -273,7 +273,7 @@
 TEST(ConfigurationStore, WithoutReadBackLostAnswerRemovesPartsInForce)
 {
   ConfigurationStore::Options options;
-  options.mSettleLostAnswers = false;
+  options.mResolveLostAnswers = false;
   Operator ana(mPlatform, "ana", 1, options);
   FailHeadWrites({ WriteFault::LostAnswer });
   auto done = ana.Change(SetSlots("desk", 5));
--- a/tests/FlowAdmissionTest.cpp
+++ b/tests/FlowAdmissionTest.cpp
@@ -30,7 +30,7 @@
   FlowOffer out;
   out.mImportance = aImportance;
   out.mLatencyTarget = 100ms;
-  out.mHasMore = aHasMore;
+  out.mHasMoreCandidates = aHasMore;
   return out;
 }
 
@@ -126,8 +126,8 @@
 
 TEST(FlowAdmission, AdmitsWithAFreeSlotAndForwardsOtherwise)
 {
-  CHECK(mAdmission.Decide(Host(1), Offer(true)) == FlowDecision::Take);
-  CHECK(mAdmission.Decide(Host(2), Offer(true)) == FlowDecision::PassOn);
+  CHECK(mAdmission.Decide(Host(1), Offer(true)) == FlowDecision::Admit);
+  CHECK(mAdmission.Decide(Host(2), Offer(true)) == FlowDecision::Forward);
 }
 
 TEST(FlowAdmission, LastCandidateForwardsToTheShortestWait)
@@ -135,18 +135,18 @@
   auto offer = Offer(false);
   offer.mHasBest = true;
   offer.mBestWait = 7ms;
-  CHECK(mAdmission.Decide(Host(4), offer) == FlowDecision::ToBest);
+  CHECK(mAdmission.Decide(Host(4), offer) == FlowDecision::ForwardToBest);
   offer.mBestWait = 100ms;
-  CHECK(mAdmission.Decide(Host(4), offer) == FlowDecision::Take);
+  CHECK(mAdmission.Decide(Host(4), offer) == FlowDecision::Admit);
 }
 
 TEST(FlowAdmission, RefusesLateFlowsAndLetsImportantOnesWaitLonger)
 {
   // Six in progress at two slots: one more waits 38 ms of 100.
-  CHECK(mAdmission.Decide(Host(6), Offer(false)) == FlowDecision::Take);
+  CHECK(mAdmission.Decide(Host(6), Offer(false)) == FlowDecision::Admit);
   CHECK(mAdmission.Decide(Host(7), Offer(false)) == FlowDecision::Refuse);
   CHECK(mAdmission.Decide(Host(8), Offer(false, Importance::High)) ==
-        FlowDecision::Take);
+        FlowDecision::Admit);
   CHECK(mAdmission.Decide(Host(9), Offer(false, Importance::High)) ==
         FlowDecision::Refuse);
 }
@@ -158,10 +158,10 @@
 {
   HostCondition leaving = Host(0);
   leaving.mTakesNewFlows = false;
-  CHECK(mAdmission.Decide(leaving, Offer(true)) == FlowDecision::PassOn);
+  CHECK(mAdmission.Decide(leaving, Offer(true)) == FlowDecision::Forward);
   CHECK(mAdmission.Decide(leaving, Offer(false)) == FlowDecision::Refuse);
   auto must = Offer(false);
-  must.mMustTake = true;
+  must.mIsLastOffer = true;
   CHECK(mAdmission.Decide(leaving, must) == FlowDecision::Refuse);
 }
 
@@ -169,20 +169,20 @@
 {
   HostCondition down = Host(0);
   down.mSeemsDown = true;
-  CHECK(mAdmission.Decide(down, Offer(true)) == FlowDecision::PassOn);
+  CHECK(mAdmission.Decide(down, Offer(true)) == FlowDecision::Forward);
   auto offer = Offer(false);
   offer.mHasBest = true;
-  CHECK(mAdmission.Decide(down, offer) == FlowDecision::ToBest);
-  CHECK(mAdmission.Decide(down, Offer(false)) == FlowDecision::Take);
+  CHECK(mAdmission.Decide(down, offer) == FlowDecision::ForwardToBest);
+  CHECK(mAdmission.Decide(down, Offer(false)) == FlowDecision::Admit);
 }
 
 TEST(FlowAdmission, ColdHostLeavesOneSlotFree)
 {
   HostCondition cold = Host(1);
   cold.mIsCold = true;
-  CHECK(mAdmission.Decide(cold, Offer(true)) == FlowDecision::PassOn);
+  CHECK(mAdmission.Decide(cold, Offer(true)) == FlowDecision::Forward);
   cold.mInProgress = 0;
-  CHECK(mAdmission.Decide(cold, Offer(true)) == FlowDecision::Take);
+  CHECK(mAdmission.Decide(cold, Offer(true)) == FlowDecision::Admit);
 }
 
 // Load: half of the slots' capacity, the normal case. Placement regardless of
--- a/tests/FlowSteeringTest.cpp
+++ b/tests/FlowSteeringTest.cpp
@@ -6,7 +6,7 @@
 
 #include "platform/PlatformPackets.h"
 #include "src/net/Endpoint.h"
-#include "src/passthrough/SearchWalks.h"
+#include "src/passthrough/SearchPaths.h"
 
 #include <CppUTest/TestHarness.h>
 
@@ -164,7 +164,7 @@
   STRCMP_EQUAL("10.0.1.2:7000", mOut.mSteered[1].first.ToString().c_str());
   SteeredPacket back = mOut.mSteered[1].second;
   back.mPurpose = SteerPurpose::NotHere;
-  mSteering.OnNotHere(back, mClock.Now());
+  mSteering.OnReturned(back, mClock.Now());
   CHECK(mOut.mSteered[2].second.mPurpose == SteerPurpose::FanOut);
   mClock.Advance(200ms);
   Data();
@@ -251,9 +251,9 @@
       continue;
     }
     ++reached[first];
-    for (SearchWalk& walk : DealWalks(steered.mCandidates, kWalksEach)) {
-      walk.mOthers.insert(walk.mOthers.begin(), walk.mFirst);
-      for (const Address& it : walk.mOthers) {
+    for (SearchPath& path : SplitSearch(steered.mCandidates, kPathsPerFanOut)) {
+      path.mOthers.insert(path.mOthers.begin(), path.mFirst);
+      for (const Address& it : path.mOthers) {
         if (it == dead) {
           break;
         }
@@ -296,7 +296,7 @@
 {
   SetRoutes();
   SetHosts({ Host(1, "near") });
-  mSteering.OnStandstill(mClock.Now());
+  mSteering.OnProcessStall(mClock.Now());
   Syn();
   Report(1, PlacementOutcome::Refused);
   CHECK_EQUAL(0, mOut.mToCaller.size());
@@ -382,7 +382,7 @@
   back.mService = MakeServiceId("s");
   back.mPurpose = SteerPurpose::NotHere;
   back.mPacket = Packet(4, 9);
-  mSteering.OnNotHere(back, mClock.Now());
+  mSteering.OnReturned(back, mClock.Now());
   CHECK_TRUE(mOut.mToCaller.empty());
   CHECK_TRUE(mOut.mSteered.empty());
 }
--- a/tests/FlowStoryTest.cpp
+++ b/tests/FlowStoryTest.cpp
@@ -61,12 +61,12 @@
     "I10:00:01.000000 process=b event=started",
     "I10:00:20.000000 process=b event=stopped",
   });
-  auto events = TellFlow(lines, "f1");
+  auto events = CollectFlowEvents(lines, "f1");
   CHECK_EQUAL(3, events.size());
   STRCMP_EQUAL("host_announced", events[0].mEvent.c_str());
   STRCMP_EQUAL("offered", events[1].mEvent.c_str());
   STRCMP_EQUAL("placed", events[2].mEvent.c_str());
-  CHECK_TRUE(TellFlow(lines, "f3").empty());
+  CHECK_TRUE(CollectFlowEvents(lines, "f3").empty());
 }
 
 // An engineer looks up a log event in the operations page. Fails if a logged
--- a/tests/HostCallsTest.cpp
+++ b/tests/HostCallsTest.cpp
@@ -66,7 +66,7 @@
   STRCMP_EQUAL("i-1", read->mId.c_str());
   STRCMP_EQUAL("s", read->mService.c_str());
   CHECK(read->mPhase == HostPhase::Draining);
-  CHECK(read->mColdFor == std::chrono::milliseconds(1500));
+  CHECK(read->mColdRemaining == std::chrono::milliseconds(1500));
   CHECK_EQUAL(4, *read->mSequence);
   CHECK_EQUAL(1700000000000, *read->mStartedAt);
   CHECK_EQUAL(2, read->mSlots);
--- a/tests/HostFlowsDrainTest.cpp
+++ b/tests/HostFlowsDrainTest.cpp
@@ -37,7 +37,7 @@
     announcement.mStartedAt = 1;
     announcement.mSequence = ++mAnnouncements;
     announcement.mSlots = 200;
-    announcement.mColdFor = aFor;
+    announcement.mColdRemaining = aFor;
     mFlows->OnAnnouncement(announcement, mClock.Now());
   }
 };
--- a/tests/HostFlowsFixture.h
+++ b/tests/HostFlowsFixture.h
@@ -53,7 +53,7 @@
     {
       mReports.emplace_back(aBalancer, aReport);
     }
-    void Measured(HostTiming aTiming, Duration aTook) override
+    void RecordDuration(HostTiming aTiming, Duration aTook) override
     {
       mTimes.emplace_back(aTiming, aTook);
     }
--- a/tests/HostStatusTest.cpp
+++ b/tests/HostStatusTest.cpp
@@ -120,7 +120,7 @@
 TEST(HostStatus, IsColdForTheAnnouncedDuration)
 {
   auto announcement = Announcement("a", 100, 1);
-  announcement.mColdFor = 2s;
+  announcement.mColdRemaining = 2s;
   Receive(announcement);
   CHECK_TRUE(mStatus.IsCold(mClock.Now() + 1999ms));
   CHECK_FALSE(mStatus.IsCold(mClock.Now() + 2s));
--- a/tests/MemberTableTest.cpp
+++ b/tests/MemberTableTest.cpp
@@ -29,7 +29,7 @@
   member.mService = kService;
   member.mIncarnation = aIncarnation;
   member.mState = aState;
-  heartbeat.mRecord.mBeat = aNumber;
+  heartbeat.mRecord.mHeartbeatNumber = aNumber;
   heartbeat.mRecord.mAge = 1h;
   return heartbeat;
 }
@@ -80,7 +80,7 @@
 TEST(MemberTable, WeightGrowsWithAgeUnlessSlowStartIsDisabled)
 {
   MemberTableOptions noSlowStart;
-  noSlowStart.mSlowStart = {};
+  noSlowStart.mSlowStartDuration = {};
   MemberTable withoutSlowStart(MemberTableId::Hosts, kInventory, noSlowStart);
   Heartbeat cold = MakeHeartbeat(1, 1, 1, HostState::Cold);
   mTable.OnHeartbeat(cold, mClock.Now());
@@ -106,16 +106,16 @@
 {
   mTable.SetMonitored([](const Member&) { return false; }, mClock.Now());
   Run(mTable, 3, 1s);
-  CHECK_EQUAL(0, mTable.Judged());
+  CHECK_EQUAL(0, mTable.MonitoredCount());
   mTable.SetMonitored([](const Member&) { return true; }, mClock.Now());
   mClock.Advance(2s);
   mTable.OnTick(mClock.Now());
-  CHECK_EQUAL(0, mTable.Judged());
+  CHECK_EQUAL(0, mTable.MonitoredCount());
   Run(mTable, 2, 500ms);
-  CHECK_EQUAL(2, mTable.Judged());
+  CHECK_EQUAL(2, mTable.MonitoredCount());
   mClock.Advance(4s);
   mTable.OnTick(mClock.Now());
-  CHECK_EQUAL(3, mTable.Judged());
+  CHECK_EQUAL(3, mTable.MonitoredCount());
 }
 
 TEST(MemberTable, RejectsServiceThatInventoryDoesNotAllow)
--- a/tests/MembershipCodecTest.cpp
+++ b/tests/MembershipCodecTest.cpp
@@ -24,7 +24,7 @@
   record.mMember.mTunnel.mIp[15] = 4;
   record.mMember.mControl.mPort = 99;
   record.mRevision = 3;
-  record.mBeat = 5;
+  record.mHeartbeatNumber = 5;
   record.mVerdict = Verdict::Suspect;
   record.mAge = std::chrono::milliseconds(250);
   return record;
@@ -125,13 +125,14 @@
   KeyAnswer keyAnswer{ 1, { 2 }, "key", { KeyKnowledge::Answered, "yes" } };
   CHECK_TRUE(CountRejected(EncodePayload(keyAnswer), decodeAnswer) > 1000);
   Grant grant{ { 1 }, 2, 3, true, "answer" };
-  ShardWishes wishes{
+  PendingShardWrites writes{
     { 1 }, { { "key", ChangeKind::Answer, grant, 4, std::chrono::seconds(1) } }
   };
-  CHECK_TRUE(DecodeShardWishes(EncodePayload(wishes))->mWishes[0].mGrant ==
-             grant);
-  CHECK_TRUE(CountRejected(EncodePayload(wishes), [](ByteView aBytes) {
-               return !!DecodeShardWishes(aBytes);
+  CHECK_TRUE(
+    DecodePendingShardWrites(EncodePayload(writes))->mPendingWrites[0].mGrant ==
+    grant);
+  CHECK_TRUE(CountRejected(EncodePayload(writes), [](ByteView aBytes) {
+               return !!DecodePendingShardWrites(aBytes);
              }) > 1000);
   ShardOutcome outcome;
   outcome.mResult = ChangeResult::Taken;
--- a/tests/MembershipFleet.h
+++ b/tests/MembershipFleet.h
@@ -44,7 +44,7 @@
     , mOptions(aOptions)
     , mDataCentres(aDataCentres)
   {
-    mAgentOptions.mHeartbeatEvery = aOptions.mHeartbeatEvery;
+    mAgentOptions.mHeartbeatInterval = aOptions.mHeartbeatInterval;
     mAgentOptions.mMonitors = aOptions.mMonitors;
     mAgentOptions.mWantsPeers = aAgentsWantPeers;
     for (int i = 0; i < std::min(aBalancers, aSeeds); ++i) {
--- a/tests/MembershipTest.cpp
+++ b/tests/MembershipTest.cpp
@@ -173,7 +173,7 @@
 TEST(Membership, TreesReachEveryBalancerOnce)
 {
   std::vector<Member> balancers(200);
-  std::map<std::uint16_t, SpreadTree> trees;
+  std::map<std::uint16_t, DisseminationTree> trees;
   for (std::uint16_t i = 0; i < 200; ++i) {
     balancers[i].mHost = MakeHostId("balancer-" + std::to_string(i));
     balancers[i].mControl = MembershipFleet::AddressOf(i);
@@ -181,7 +181,7 @@
   for (std::uint16_t i = 0; i < 200; ++i) {
     trees[i].SetBalancers(balancers[i].mHost, balancers);
   }
-  for (std::uint8_t tree = 0; tree < SpreadTree::kTrees; ++tree) {
+  for (std::uint8_t tree = 0; tree < DisseminationTree::kTrees; ++tree) {
     std::vector<int> received(200, 0);
     std::queue<Address> pending;
     for (const Address& it : trees[17].FirstHops(tree)) {
--- a/tests/MonitorsTest.cpp
+++ b/tests/MonitorsTest.cpp
@@ -106,12 +106,13 @@
   CHECK_EQUAL(2 * kAgents / 3, fleet.ViewAt(1).size());
 }
 
-// The number of balancers crosses mAllUpTo repeatedly, and agents and balancers
-// notice it at different times. No live host may be dropped.
+// The number of balancers crosses mMaxBalancersAllMonitor repeatedly, and
+// agents and balancers notice it at different times. No live host may be
+// dropped.
 TEST(Monitors, CrossingAllMonitorsThresholdKeepsLiveHosts)
 {
   BalancerMembershipOptions options;
-  options.mMonitors = { .mCount = 3, .mAllUpTo = 6 };
+  options.mMonitors = { .mCount = 3, .mMaxBalancersAllMonitor = 6 };
   MembershipFleet fleet(1, 6, 20, options, 2);
   fleet.Run(5s);
   for (int round = 0; round < 10; ++round) {
@@ -137,7 +138,7 @@
   constexpr int kBalancers = 40;
   constexpr int kAgents = 120;
   BalancerMembershipOptions options;
-  options.mMonitors = { .mCount = 3, .mAllUpTo = 24 };
+  options.mMonitors = { .mCount = 3, .mMaxBalancersAllMonitor = 24 };
   int dropped = 0;
   for (std::uint64_t seed = 1; seed <= 3; ++seed) {
     MembershipFleet fleet(seed, 3, kAgents, options, 2, false, 3);
--- a/tests/OutlierTest.cpp
+++ b/tests/OutlierTest.cpp
@@ -41,7 +41,7 @@
 {
   int ejected = 0;
   for (std::uint64_t i = 1; i <= kHosts; ++i) {
-    ejected += aDetector.IsOut(HostId{ i }, aNow) ? 1 : 0;
+    ejected += aDetector.IsEjected(HostId{ i }, aNow) ? 1 : 0;
   }
   return ejected;
 }
@@ -56,11 +56,11 @@
 {
   for (auto name : { "consecutive", "compared" }) {
     auto detector = MakeWithHosts(name);
-    detector->OnHint(HostId{ 1 }, true);
+    detector->OnHealthHint(HostId{ 1 }, true);
     RunRounds(*detector, 1, false, 1ms);
-    CHECK_TRUE(detector->IsOut(HostId{ 1 }, kNow + 300ms));
+    CHECK_TRUE(detector->IsEjected(HostId{ 1 }, kNow + 300ms));
     CHECK_EQUAL(1, CountEjected(*detector, kNow + 300ms));
-    CHECK_FALSE(detector->IsOut(HostId{ 1 }, kNow + 3s));
+    CHECK_FALSE(detector->IsEjected(HostId{ 1 }, kNow + 3s));
   }
 }
 
@@ -70,7 +70,7 @@
 {
   for (auto name : { "consecutive", "compared" }) {
     auto detector = MakeWithHosts(name);
-    detector->OnHint(HostId{ 1 }, false);
+    detector->OnHealthHint(HostId{ 1 }, false);
     RunRounds(*detector, 0, true, 20ms);
     CHECK_EQUAL(0, CountEjected(*detector, kNow + 300ms));
   }
@@ -83,7 +83,7 @@
   CHECK_EQUAL(0, CountEjected(*consecutive, kNow + 300ms));
   auto compared = MakeWithHosts("compared");
   RunRounds(*compared, 1, true, 200ms);
-  CHECK_TRUE(compared->IsOut(HostId{ 1 }, kNow + 300ms));
+  CHECK_TRUE(compared->IsEjected(HostId{ 1 }, kNow + 300ms));
 }
 
 // A database used by all hosts is down, and every host fails. If they were
@@ -105,8 +105,8 @@
     for (int i = 0; i < 5; ++i) {
       detector->OnResult(HostId{ 1 }, false, 1ms, now);
     }
-    CHECK_TRUE(detector->IsOut(HostId{ 1 }, now + expected - 1ms));
-    CHECK_FALSE(detector->IsOut(HostId{ 1 }, now + expected));
+    CHECK_TRUE(detector->IsEjected(HostId{ 1 }, now + expected - 1ms));
+    CHECK_FALSE(detector->IsEjected(HostId{ 1 }, now + expected));
     now += expected;
   }
 }
@@ -115,13 +115,13 @@
 {
   auto detector = MakeWithHosts("consecutive");
   HostLoad load;
-  load.mFailing = 0.6;
-  load.mResults = 20;
-  detector->OnFigures(HostId{ 1 }, load, kNow);
-  CHECK_TRUE(detector->IsOut(HostId{ 1 }, kNow));
+  load.mFailureRate = 0.6;
+  load.mResultCount = 20;
+  detector->OnLoadReport(HostId{ 1 }, load, kNow);
+  CHECK_TRUE(detector->IsEjected(HostId{ 1 }, kNow));
   // The ejected host got no work, so its report is unchanged: no new evidence.
-  detector->OnFigures(HostId{ 1 }, load, kNow + 3s);
-  CHECK_FALSE(detector->IsOut(HostId{ 1 }, kNow + 3s));
+  detector->OnLoadReport(HostId{ 1 }, load, kNow + 3s);
+  CHECK_FALSE(detector->IsEjected(HostId{ 1 }, kNow + 3s));
 }
 
 TEST_GROUP(SlowStart){};
--- a/tests/PassthroughCodecTest.cpp
+++ b/tests/PassthroughCodecTest.cpp
@@ -17,7 +17,7 @@
   out.mService = MakeServiceId("s");
   out.mPurpose = SteerPurpose::Search;
   out.mImportance = Importance::High;
-  out.mMustTake = true;
+  out.mIsLastOffer = true;
   out.mLatencyTarget = 120ms;
   out.mIngress = *ParseAddress("10.0.0.1:7");
   out.mCandidates = { *ParseAddress("10.0.0.2:7"),
@@ -40,7 +40,7 @@
   CHECK_TRUE(decoded->mService == sent.mService);
   CHECK_TRUE(decoded->mPurpose == sent.mPurpose);
   CHECK_TRUE(decoded->mImportance == sent.mImportance);
-  CHECK_TRUE(decoded->mMustTake);
+  CHECK_TRUE(decoded->mIsLastOffer);
   CHECK(decoded->mLatencyTarget == sent.mLatencyTarget);
   CHECK_TRUE(decoded->mIngress == sent.mIngress);
   CHECK_TRUE(decoded->mCandidates == sent.mCandidates);
--- a/tests/PassthroughExplorationTest.cpp
+++ b/tests/PassthroughExplorationTest.cpp
@@ -102,10 +102,11 @@
   for (const GuardCase& it : {
          GuardCase{ "service check", &HostFlowGuards::mCheckService },
          GuardCase{ "acknowledgement match",
-                    &HostFlowGuards::mMatchAcknowledged },
-         GuardCase{ "query of unknown flows", &HostFlowGuards::mAskUnknown },
+                    &HostFlowGuards::mCheckAcknowledgement },
+         GuardCase{ "query of unknown flows",
+                    &HostFlowGuards::mProbeUnknownFlows },
          GuardCase{ "wait for the first heartbeat",
-                    &HostFlowGuards::mHearFirst },
+                    &HostFlowGuards::mRequireAnnouncement },
        }) {
     PassthroughWorld::Options options;
     options.mGuards.*it.mGuard = false;
--- a/tests/PassthroughWorld.cpp
+++ b/tests/PassthroughWorld.cpp
@@ -106,7 +106,8 @@
                                const Agent* aFrom)
 {
   for (auto& it : mAgents) {
-    bool isCut = aFrom != nullptr && aFrom->mCutFrom.contains(it->mIndex);
+    bool isCut =
+      aFrom != nullptr && aFrom->mUnreachableAgents.contains(it->mIndex);
     if (it->mTunnel == aTo && !isCut) {
       Send([this, &agent = *it, aPacket] {
         agent.RunOrDefer([this, &agent, aPacket] {
--- a/tests/PassthroughWorld.h
+++ b/tests/PassthroughWorld.h
@@ -117,7 +117,7 @@
   FlowInventoryPtr mInventory;
   std::uint64_t mVersion = 1;
   std::uint32_t mNextSequence = 1000;
-  std::int64_t mNextStartedAt = 1;
+  std::int64_t mNextStartStamp = 1;
   DataCentreDrains mDrains{ 1, {} };
   std::optional<Time> mDrainedAt;
   bool mNetworkReliable = false;
--- a/tests/PassthroughWorldFaults.cpp
+++ b/tests/PassthroughWorldFaults.cpp
@@ -146,11 +146,11 @@
 {
   Agent& one = *mAgents[RandomBelow(mAgents.size())];
   std::size_t other = RandomBelow(mAgents.size());
-  one.mCutFrom.insert(other);
-  mAgents[other]->mCutFrom.insert(one.mIndex);
+  one.mUnreachableAgents.insert(other);
+  mAgents[other]->mUnreachableAgents.insert(one.mIndex);
   Schedule(RandomDuration(50, 900), [this, &one, other] {
-    one.mCutFrom.erase(other);
-    mAgents[other]->mCutFrom.erase(one.mIndex);
+    one.mUnreachableAgents.erase(other);
+    mAgents[other]->mUnreachableAgents.erase(one.mIndex);
   });
 }
 
--- a/tests/PassthroughWorldHosts.cpp
+++ b/tests/PassthroughWorldHosts.cpp
@@ -8,7 +8,7 @@
   auto host = std::make_shared<Host>();
   host->mId = "i-" + std::to_string(aAgent.mIndex);
   host->mService = aService;
-  host->mStartedAt = mNextStartedAt++;
+  host->mStartedAt = mNextStartStamp++;
   aAgent.mHost = host;
   SendHeartbeat(aAgent);
 }
@@ -68,7 +68,7 @@
       member.mTunnel = it->mTunnel;
       // An agent that is briefly down, or whose host is unresponsive, stays in
       // the view, but gets no new flows.
-      if (!it->mFlows || !it->mFlows->Host().IsHeard(mClock.Now())) {
+      if (!it->mFlows || !it->mFlows->Host().IsResponsive(mClock.Now())) {
         member.mState =
           it->mHost->mAlive ? HostState::Draining : HostState::Leaving;
       }
