--- a/tests/PassthroughWorldParts.h
+++ b/tests/PassthroughWorldParts.h
@@ -90,7 +90,7 @@
   void Resume()
   {
     mStalled = false;
-    mSteering->OnStandstill(mWorld->mClock.Now());
+    mSteering->OnProcessStall(mWorld->mClock.Now());
     for (auto& it : std::exchange(mDeferred, {})) {
       it();
     }
@@ -129,7 +129,7 @@
   std::shared_ptr<Host> mHost;
   bool mStalled = false;
   std::vector<std::function<void()>> mDeferred;
-  std::set<std::size_t> mCutFrom;
+  std::set<std::size_t> mUnreachableAgents;
 
   void Start()
   {
@@ -138,7 +138,7 @@
     options.mSelf = mTunnel;
     options.mService = MakeServiceId(mService);
     options.mMaxFlows = 256;
-    options.mSilentAfter = 3 * kHeartbeatInterval;
+    options.mAnnouncementTimeout = 3 * kHeartbeatInterval;
     options.mGuards = mWorld->mOptions.mGuards;
     mFlows = std::make_unique<HostFlows>(options, mWorld->mPackets, *this,
                                          mWorld->mClock.Now());
@@ -157,7 +157,7 @@
   HostState State() const
   {
     Time now = mWorld->mClock.Now();
-    if (!mFlows || !mFlows->Host().IsHeard(now) ||
+    if (!mFlows || !mFlows->Host().IsResponsive(now) ||
         mFlows->Host().Phase() == HostPhase::Gone) {
       return HostState::Leaving;
     }
@@ -181,10 +181,10 @@
     }
     Time now = mWorld->mClock.Now();
     mWorld->ToBalancer(aTo, [aPacket, now](Balancer& aIt) {
-      aIt.mSteering->OnNotHere(aPacket, now);
+      aIt.mSteering->OnReturned(aPacket, now);
     });
   }
-  void Measured(HostTiming, Duration) override {}
+  void RecordDuration(HostTiming, Duration) override {}
   void Report(const Address& aBalancer, const PlacementReport& aReport) override
   {
     mWorld->ToBalancer(aBalancer, [aReport](Balancer& aIt) {
--- a/tests/PlacementWatchTest.cpp
+++ b/tests/PlacementWatchTest.cpp
@@ -131,7 +131,7 @@
 TEST(PlacementWatch, RepeatedOffersAreBounded)
 {
   mWatch.Begin(Flow(1), {}, Candidates(), PlacementWatch::Copy::Later,
-               mClock.Now(), PlacementWatch::kMaxRetries);
+               mClock.Now(), PlacementWatch::kMaxRepeatedOffers);
   mClock.Advance(PlacementWatch::kAnswerTimeout);
   auto timedOut = mWatch.TakeTimedOut(mClock.Now());
   CHECK_EQUAL(1, timedOut.size());
--- a/tests/PlatformPacketsTest.cpp
+++ b/tests/PlatformPacketsTest.cpp
@@ -36,7 +36,7 @@
   STRCMP_EQUAL("198.18.0.1:443", packet->mDestination.ToString().c_str());
   CHECK_TRUE(packet->mSyn);
   CHECK_FALSE(packet->mAck || packet->mFin || packet->mReset ||
-              packet->mBounced);
+              packet->mReturned);
   CHECK_EQUAL(0x11223344, packet->mSequence);
   CHECK_EQUAL(0, packet->mDataLength);
 }
@@ -52,10 +52,10 @@
   Bytes tagged = kSyn;
   tagged[20] |= 32;
   tagged[21] = 9;
-  CHECK_TRUE(mPackets.Parse(tagged)->mBounced);
+  CHECK_TRUE(mPackets.Parse(tagged)->mReturned);
   mPackets.Tag(tagged, 0xdeadbeef);
   CHECK_EQUAL(0xdeadbeef, mPackets.Parse(tagged)->mTag);
-  CHECK_FALSE(mPackets.Parse(tagged)->mBounced);
+  CHECK_FALSE(mPackets.Parse(tagged)->mReturned);
   mPackets.Tag(tagged, 0);
   CHECK_TRUE(tagged == kSyn);
 }
--- a/tests/StandstillWatchTest.cpp
+++ b/tests/ProcessStallWatchTest.cpp
@@ -1,15 +1,15 @@
-#include "src/process/StandstillWatch.h"
+#include "src/process/ProcessStallWatch.h"
 
 #include <CppUTest/TestHarness.h>
 
 using namespace heatherplank;
 using namespace std::chrono_literals;
 
-TEST_GROUP(StandstillWatch)
+TEST_GROUP(ProcessStallWatch)
 {
   ManualClock mClock;
   Duration mSinceBoot = 100s;
-  StandstillWatch mWatch;
+  ProcessStallWatch mWatch;
 
   Duration Tick(Duration aRan, Duration aSuspended = 0s)
   {
@@ -19,7 +19,7 @@
   }
 };
 
-TEST(StandstillWatch, ReportsNoStallWhileTheProcessRuns)
+TEST(ProcessStallWatch, ReportsNoStallWhileTheProcessRuns)
 {
   for (int i = 0; i < 100; ++i) {
     CHECK(Tick(50ms) == Duration::zero());
@@ -28,7 +28,7 @@
 
 // A process is stopped by SIGSTOP and resumes seconds later: its timers fire
 // late, and its state about other processes is that old.
-TEST(StandstillWatch, ReportsAStallAfterSigstop)
+TEST(ProcessStallWatch, ReportsAStallAfterSigstop)
 {
   Tick(50ms);
   CHECK(Tick(3s) == 3s);
@@ -37,7 +37,7 @@
 
 // A VM is suspended: the steady clock stops, so that no timeout expires, and
 // only the clock since boot advances.
-TEST(StandstillWatch, ReportsAStallAfterASuspension)
+TEST(ProcessStallWatch, ReportsAStallAfterASuspension)
 {
   Tick(50ms);
   CHECK(Tick(50ms, 5s) == 5050ms);
--- a/tests/RetryTest.cpp
+++ b/tests/RetryTest.cpp
@@ -14,31 +14,30 @@
   {
     AttemptEnd mEnd;
     bool mNeverRepeat;
-    RetryPlace mPlace;
+    RetryTarget mTarget;
     ExecutionStatus mStatus;
   };
   const Case cases[] = {
-    { AttemptEnd::ConnectFailed, true, RetryPlace::OtherHost,
+    { AttemptEnd::ConnectFailed, true, RetryTarget::OtherHost,
       ExecutionStatus::NotRun },
-    { AttemptEnd::Shed, true, RetryPlace::OtherHost, ExecutionStatus::NotRun },
-    { AttemptEnd::Draining, true, RetryPlace::OtherHost,
+    { AttemptEnd::Shed, true, RetryTarget::OtherHost, ExecutionStatus::NotRun },
+    { AttemptEnd::Draining, true, RetryTarget::OtherHost,
       ExecutionStatus::NotRun },
-    { AttemptEnd::RefusedByAdmission, false, RetryPlace::Nowhere,
+    { AttemptEnd::RefusedByAdmission, false, RetryTarget::None,
       ExecutionStatus::NotRun },
-    { AttemptEnd::PlatformDown, true, RetryPlace::Nowhere,
+    { AttemptEnd::PlatformDown, true, RetryTarget::None,
       ExecutionStatus::NotRun },
-    { AttemptEnd::LostAfterSend, true, RetryPlace::Nowhere,
+    { AttemptEnd::LostAfterSend, true, RetryTarget::None,
       ExecutionStatus::Unknown },
-    { AttemptEnd::LostAfterSend, false, RetryPlace::OtherHost,
+    { AttemptEnd::LostAfterSend, false, RetryTarget::OtherHost,
       ExecutionStatus::Unknown },
-    { AttemptEnd::TimedOut, true, RetryPlace::Nowhere,
-      ExecutionStatus::Unknown },
-    { AttemptEnd::TimedOut, false, RetryPlace::Nowhere,
+    { AttemptEnd::TimedOut, true, RetryTarget::None, ExecutionStatus::Unknown },
+    { AttemptEnd::TimedOut, false, RetryTarget::None,
       ExecutionStatus::Unknown },
   };
   for (const auto& it : cases) {
     const auto advice = AdviseRetry(it.mEnd, it.mNeverRepeat);
-    CHECK_TRUE(advice.mPlace == it.mPlace);
+    CHECK_TRUE(advice.mTarget == it.mTarget);
     CHECK_TRUE(advice.mStatus == it.mStatus);
   }
 }
--- a/tests/RoutesFleet.h
+++ b/tests/RoutesFleet.h
@@ -119,7 +119,7 @@
 
   /** Runs until all balancers know exactly aDataCentres drained data centres;
    * returns the time taken, at most aTimeout. */
-  Duration TimeUntilAllDrain(std::size_t aDataCentres, Duration aTimeout)
+  Duration TimeUntilDrainsKnown(std::size_t aDataCentres, Duration aTimeout)
   {
     Time began = mClock.Now();
     while (mClock.Now() - began < aTimeout &&
@@ -269,7 +269,7 @@
     {
       mFleet.WatchNames(mNode, aAfter, aWait, std::move(aDone));
     }
-    std::uint64_t SeenVersion() const override
+    std::uint64_t LastSeenVersion() const override
     {
       return mFleet.mNodes[mNode]->mSeenRevision;
     }
--- a/tests/RoutesFleetTest.cpp
+++ b/tests/RoutesFleetTest.cpp
@@ -94,9 +94,9 @@
   fleet.TimeUntilAllHave(17, 5s);
   fleet.Run(10s);
   fleet.Drain({ "dc-1" });
-  CHECK_TRUE(fleet.TimeUntilAllDrain(1, 5s) <= 1s);
+  CHECK_TRUE(fleet.TimeUntilDrainsKnown(1, 5s) <= 1s);
   fleet.Drain({});
-  CHECK_TRUE(fleet.TimeUntilAllDrain(0, 5s) <= 1s);
+  CHECK_TRUE(fleet.TimeUntilDrainsKnown(0, 5s) <= 1s);
 }
 
 // Guards against a drain and its cancellation that are reordered on the way to
@@ -114,7 +114,7 @@
     fleet.Drain({ "dc-2" });
     fleet.Run(90ms);
   }
-  CHECK_TRUE(fleet.TimeUntilAllDrain(1, 5s) <= 1s);
+  CHECK_TRUE(fleet.TimeUntilDrainsKnown(1, 5s) <= 1s);
   fleet.Run(5s);
   CHECK_EQUAL(30, fleet.CountDraining(1));
 }
@@ -128,7 +128,7 @@
   fleet.StartAll();
   fleet.TimeUntilAllHave(17, 5s);
   fleet.Drain({ "dc-1" });
-  fleet.TimeUntilAllDrain(1, 5s);
+  fleet.TimeUntilDrainsKnown(1, 5s);
   fleet.CutAllFromStore();
   fleet.Start(3);
   CHECK_TRUE(fleet.TimeUntilAllHave(17, 5s) <= 1500ms);
@@ -148,7 +148,7 @@
     fleet.CutFromStore(it);
   }
   fleet.Drain({ "dc-1" });
-  CHECK_TRUE(fleet.TimeUntilAllDrain(1, 5s) <= 3000ms);
+  CHECK_TRUE(fleet.TimeUntilDrainsKnown(1, 5s) <= 3000ms);
 }
 
 // Guards against a missed drain when delayed notices make a confirmation look
@@ -167,6 +167,6 @@
     }
     fleet.Run(1500ms);
     fleet.Drain({ "dc-1" });
-    CHECK_TRUE(fleet.TimeUntilAllDrain(1, 5s) <= 3000ms);
+    CHECK_TRUE(fleet.TimeUntilDrainsKnown(1, 5s) <= 3000ms);
   }
 }
--- a/tests/RunOnceSimulation.cpp
+++ b/tests/RunOnceSimulation.cpp
@@ -254,7 +254,7 @@
   CompleteRequest(request);
   if (Chance(mFaults.mServerRefuses)) {
     ScheduleAtAgent(5, aAgent, [this, key, nonce](RunOnce& aTarget) {
-      aTarget.RefusedByServer(key, nonce, mNow);
+      aTarget.OnRefusedByServer(key, nonce, mNow);
     });
     return;
   }
@@ -265,9 +265,9 @@
   ScheduleAtAgent(5 + RandomBelow(150), aAgent,
                   [this, key, nonce, lost](RunOnce& aTarget) {
                     if (lost) {
-                      aTarget.LostSight(key, nonce, mNow);
+                      aTarget.OnOutcomeUnknown(key, nonce, mNow);
                     } else {
-                      aTarget.Answered(key, nonce, "answer of " + key, mNow);
+                      aTarget.OnAnswered(key, nonce, "answer of " + key, mNow);
                     }
                   });
 }
@@ -306,7 +306,7 @@
   ++mUnknown;
 }
 
-void RunOnceSimulation::Perform(int aAgent, const AskHolder& aAsk)
+void RunOnceSimulation::Perform(int aAgent, const HolderQuery& aAsk)
 {
   int holder = static_cast<int>(aAsk.mGrant.mHost.mValue) - 1;
   if (Chance(mFaults.mLostMessage)) {
@@ -315,18 +315,18 @@
   Incarnation askerIncarnation = mAgents[aAgent].mIncarnation;
   ScheduleAtAgent(
     1, holder, [this, aAgent, askerIncarnation, aAsk](RunOnce& aHolder) {
-      KeyReply reply = aHolder.OnQuestion(aAsk.mKey, aAsk.mGrant.mNonce,
+      KeyReply reply = aHolder.OnKeyQuery(aAsk.mKey, aAsk.mGrant.mNonce,
                                           aAsk.mGrant.mIncarnation, mNow);
       if (mAgents[aAgent].mIncarnation != askerIncarnation) {
         return;
       }
       ScheduleAtAgent(1, aAgent, [this, aAsk, reply](RunOnce& aAsker) {
-        aAsker.OnReply(aAsk.mKey, reply, mNow);
+        aAsker.OnHolderReply(aAsk.mKey, reply, mNow);
       });
     });
 }
 
-void RunOnceSimulation::Perform(int aAgent, const AskPeers& aAsk)
+void RunOnceSimulation::Perform(int aAgent, const PeerQuery& aAsk)
 {
   KeyReply combined;
   bool allReplied = true;
@@ -337,14 +337,14 @@
     bool unresponsive = mAgents[i].mPaused || Chance(mFaults.mLostMessage);
     allReplied = allReplied && !unresponsive;
     if (!unresponsive) {
-      KeyReply reply = mAgents[i].mRunOnce->OnQuestion(aAsk.mKey, 0, 0, mNow);
+      KeyReply reply = mAgents[i].mRunOnce->OnKeyQuery(aAsk.mKey, 0, 0, mNow);
       bool takesPrecedence = reply.mKnowledge > combined.mKnowledge;
       combined = takesPrecedence ? reply : combined;
     }
   }
   ScheduleAtAgent(3, aAgent,
                   [this, aAsk, combined, allReplied](RunOnce& aAsker) {
-                    aAsker.OnPeers(aAsk.mKey, combined, allReplied, mNow);
+                    aAsker.OnPeerReplies(aAsk.mKey, combined, allReplied, mNow);
                   });
 }
 
@@ -359,13 +359,14 @@
   }
 }
 
-void RunOnceSimulation::Perform(int, const AskHome& aAsk)
+void RunOnceSimulation::Perform(int, const SendToHome& aAsk)
 {
-  Deliver(aAsk.mHome,
-          [this, aAsk](RunOnce& aHome) { aHome.OnWishes(aAsk.mWishes, mNow); });
+  Deliver(aAsk.mHome, [this, aAsk](RunOnce& aHome) {
+    aHome.OnPendingWrites(aAsk.mPendingWrites, mNow);
+  });
 }
 
-void RunOnceSimulation::Perform(int, const TellAgent& aTell)
+void RunOnceSimulation::Perform(int, const ReplyToAgent& aTell)
 {
   Deliver(aTell.mAgent, [this, aTell](RunOnce& aAgent) {
     aAgent.OnOutcomes(aTell.mOutcomes, aTell.mRetryAfter, mNow);
--- a/tests/RunOnceSimulation.h
+++ b/tests/RunOnceSimulation.h
@@ -102,10 +102,10 @@
   void Perform(int aAgent, const Duplicate& aDuplicate);
   void Perform(int aAgent, const NotRun& aNotRun);
   void Perform(int aAgent, const Unknown& aUnknown);
-  void Perform(int aAgent, const AskHolder& aAsk);
-  void Perform(int aAgent, const AskPeers& aAsk);
-  void Perform(int aAgent, const AskHome& aAsk);
-  void Perform(int aAgent, const TellAgent& aTell);
+  void Perform(int aAgent, const HolderQuery& aAsk);
+  void Perform(int aAgent, const PeerQuery& aAsk);
+  void Perform(int aAgent, const SendToHome& aAsk);
+  void Perform(int aAgent, const ReplyToAgent& aTell);
   /** Delivers a message to an agent, or loses, delays or duplicates it. */
   void Deliver(HostId aTo, const std::function<void(RunOnce&)>& aAction);
   void Dispatch(RunOnce& aRunOnce, int aAgent, const Granted& aGranted);
--- a/tests/ServiceTimeTest.cpp
+++ b/tests/ServiceTimeTest.cpp
@@ -11,7 +11,7 @@
 
   void setup() override
   {
-    mTime.Expect(100ms, false);
+    mTime.SetInitialEstimate(100ms, false);
   }
 };
 
@@ -20,15 +20,15 @@
 TEST(ServiceTime, InitialEstimateFollowsTheTargetUntilTheFirstAnswer)
 {
   CHECK(mTime.Get() == 15ms);
-  mTime.Expect(200ms, true);
+  mTime.SetInitialEstimate(200ms, true);
   CHECK_TRUE(mTime.Get() > 44ms && mTime.Get() < 46ms);
-  mTime.Expect(300ms, false);
+  mTime.SetInitialEstimate(300ms, false);
   CHECK(mTime.Get() == 45ms);
-  mTime.Learn(45ms, 0, 2);
-  mTime.Expect(800ms, false);
+  mTime.RecordAnswer(45ms, 0, 2);
+  mTime.SetInitialEstimate(800ms, false);
   CHECK(mTime.Get() == 45ms);
   mTime.Reset();
-  mTime.Expect(200ms, false);
+  mTime.SetInitialEstimate(200ms, false);
   CHECK(mTime.Get() == 30ms);
 }
 
@@ -37,15 +37,15 @@
 TEST(ServiceTime, AnswersBeforeTheFirstExpectAreIgnored)
 {
   ServiceTime time;
-  time.Learn(30ms, 0, 2);
-  time.Expect(300ms, false);
+  time.RecordAnswer(30ms, 0, 2);
+  time.SetInitialEstimate(300ms, false);
   CHECK(time.Get() == 45ms);
 }
 
 TEST(ServiceTime, FollowsAHostThatBecomesSlow)
 {
   for (int i = 0; i < 100; ++i) {
-    mTime.Learn(60ms, 0, 2);
+    mTime.RecordAnswer(60ms, 0, 2);
   }
   CHECK_TRUE(mTime.Get() > 55ms && mTime.Get() <= 60ms);
 }
@@ -56,13 +56,13 @@
 TEST(ServiceTime, ExcludesTheWaitInTheQueue)
 {
   for (int i = 0; i < 200; ++i) {
-    mTime.Learn(60ms, 7, 2);
+    mTime.RecordAnswer(60ms, 7, 2);
   }
   CHECK_TRUE(mTime.Get() <= 16ms);
 }
 
 TEST(ServiceTime, OneStallDoesNotInflateTheEstimate)
 {
-  mTime.Learn(3s, 0, 2);
+  mTime.RecordAnswer(3s, 0, 2);
   CHECK_TRUE(mTime.Get() < 18ms);
 }
--- a/tests/StatusTest.cpp
+++ b/tests/StatusTest.cpp
@@ -1,4 +1,4 @@
-#include "src/status/StatusBoard.h"
+#include "src/status/StatusAggregator.h"
 
 #include <algorithm>
 #include <iterator>
@@ -43,10 +43,10 @@
   std::shared_ptr<StatusPublisher> Publisher(const char* aWriter,
                                              bool aResolveLostReplies = true)
   {
-    StatusBoard::Options options;
+    StatusAggregator::Options options;
     options.mKey = StatusKey("hall-a", 0);
     options.mWriter = aWriter;
-    options.mSettleLostAnswers = aResolveLostReplies;
+    options.mResolveLostAnswers = aResolveLostReplies;
     return StatusPublisher::Make(mStore, options);
   }
 
@@ -107,8 +107,8 @@
 
 TEST(Status, RemovesProcessesWithoutRecentReports)
 {
-  StatusBoard::Options options;
-  StatusBoard board(options);
+  StatusAggregator::Options options;
+  StatusAggregator board(options);
   board.OnReport(MakeReport("b1", 1), 1000);
   board.Tick(mNow);
   auto write =
@@ -134,7 +134,7 @@
     damaged[random() % damaged.size()] ^= 1U << (random() % 8);
     damaged.resize(random() % 2 == 0 ? damaged.size()
                                      : random() % damaged.size());
-    StatusBoard board{ StatusBoard::Options() };
+    StatusAggregator board{ StatusAggregator::Options() };
     if (auto read = DecodeStatusReport(damaged)) {
       board.OnReport(*read, 1);
     }
@@ -184,15 +184,15 @@
   }
   LONGS_EQUAL(8, CountStatusShards(all.size()));
   LONGS_EQUAL(1, CountStatusShards(3));
-  HostId lost = ChooseStatusKeeper(0, all);
+  HostId lost = ChooseStatusAggregator(0, all);
   std::vector<HostId> remaining;
   std::ranges::copy_if(all, std::back_inserter(remaining),
                        [&](HostId aId) { return aId != lost; });
-  CHECK_FALSE(ChooseStatusKeeper(0, remaining) == lost);
+  CHECK_FALSE(ChooseStatusAggregator(0, remaining) == lost);
   for (std::uint32_t shard = 1; shard < 8; ++shard) {
-    HostId before = ChooseStatusKeeper(shard, all);
+    HostId before = ChooseStatusAggregator(shard, all);
     CHECK_TRUE(before == lost ||
-               before == ChooseStatusKeeper(shard, remaining));
+               before == ChooseStatusAggregator(shard, remaining));
   }
-  CHECK_TRUE(ChooseStatusKeeper(0, {}).IsNone());
+  CHECK_TRUE(ChooseStatusAggregator(0, {}).IsNone());
 }
--- a/tests/SteerCodecTest.cpp
+++ b/tests/SteerCodecTest.cpp
@@ -60,7 +60,7 @@
 
 TEST(SteerCodec, RejectsValuesOutOfRange)
 {
-  std::vector<ClaimedFlow> tooMany(kMaxClaims + 1);
+  std::vector<ClaimedFlow> tooMany(kMaxFlowsPerClaim + 1);
   CHECK_FALSE(Decode(EncodeOwnershipMessage(Claim{ {}, tooMany })).has_value());
   Ask ask;
   ask.mPurpose = static_cast<AskPurpose>(9);
@@ -72,7 +72,7 @@
 
 TEST(SteerCodec, ClaimWithMaxFlowsFitsInADatagram)
 {
-  std::vector<ClaimedFlow> full(kMaxClaims);
+  std::vector<ClaimedFlow> full(kMaxFlowsPerClaim);
   CHECK_TRUE(EncodeOwnershipMessage(Claim{ {}, full }).size() <= 1400);
 }
 
--- a/tests/StoreWatchDutyTest.cpp
+++ b/tests/StoreWatcherSelectionTest.cpp
@@ -1,4 +1,4 @@
-#include "src/passthrough/StoreWatchDuty.h"
+#include "src/passthrough/StoreWatcherSelection.h"
 
 #include <algorithm>
 #include <set>
@@ -27,14 +27,14 @@
 
 } // namespace
 
-TEST_GROUP(StoreWatchDuty)
+TEST_GROUP(StoreWatcherSelection)
 {
   ManualClock mClock;
   const Time mStartedAt = mClock.Now();
 
-  StoreWatchDuty MakeDuty(const Member& aSelf) const
+  StoreWatcherSelection MakeSelection(const Member& aSelf) const
   {
-    return StoreWatchDuty(
+    return StoreWatcherSelection(
       { aSelf.mHost, aSelf.mDataCentre, kPropagationTimeout, mStartedAt, 1 });
   }
 
@@ -51,12 +51,12 @@
    * just received a confirmation. */
   std::vector<Member> Watchers(const std::vector<Member>& aFleet)
   {
-    Time now = mStartedAt + StoreWatchDuty::kPeerDiscoveryTimeout;
+    Time now = mStartedAt + StoreWatcherSelection::kPeerDiscoveryTimeout;
     std::vector<Member> out;
     for (const Member& it : aFleet) {
-      auto duty = MakeDuty(it);
-      duty.OnConfirmed(now);
-      if (duty.WatchDuration(Without(aFleet, it), true, false, now)) {
+      auto selection = MakeSelection(it);
+      selection.OnConfirmed(now);
+      if (selection.WatchDuration(Without(aFleet, it), true, false, now)) {
         out.push_back(it);
       }
     }
@@ -64,43 +64,46 @@
   }
 };
 
-TEST(StoreWatchDuty, AllBalancersOfASmallFleetWatch)
+TEST(StoreWatcherSelection, AllBalancersOfASmallFleetWatch)
 {
-  CHECK_EQUAL(StoreWatchDuty::kSmallFleetSize,
-              Watchers(MakeFleet(StoreWatchDuty::kSmallFleetSize, 3)).size());
+  CHECK_EQUAL(
+    StoreWatcherSelection::kSmallFleetSize,
+    Watchers(MakeFleet(StoreWatcherSelection::kSmallFleetSize, 3)).size());
 }
 
 // A watch on each of hundreds of balancers exhausts the store's rate limits,
 // and a large document is read hundreds of times at each change.
-TEST(StoreWatchDuty, FewBalancersOfALargeFleetWatchInDifferentDataCentres)
+TEST(StoreWatcherSelection,
+     FewBalancersOfALargeFleetWatchInDifferentDataCentres)
 {
   for (std::size_t n : { 9, 91, 300 }) {
     auto watchers = Watchers(MakeFleet(n, 5));
-    CHECK_EQUAL(StoreWatchDuty::kWatcherCount, watchers.size());
+    CHECK_EQUAL(StoreWatcherSelection::kWatcherCount, watchers.size());
     std::set<std::uint64_t> dataCentres;
     for (const Member& it : watchers) {
       dataCentres.insert(it.mDataCentre.mValue);
     }
-    CHECK_EQUAL(StoreWatchDuty::kWatcherCount, dataCentres.size());
+    CHECK_EQUAL(StoreWatcherSelection::kWatcherCount, dataCentres.size());
   }
-  CHECK_EQUAL(StoreWatchDuty::kWatcherCount, Watchers(MakeFleet(91, 1)).size());
+  CHECK_EQUAL(StoreWatcherSelection::kWatcherCount,
+              Watchers(MakeFleet(91, 1)).size());
 }
 
 // All watchers are cut off from the store at once, or fail, and the operator
 // changes the routes at that moment. The other balancers must start to watch
 // within the propagation timeout, at different times.
-TEST(StoreWatchDuty, WithoutConfirmationAllWatchBeforeTheTimeout)
+TEST(StoreWatcherSelection, WithoutConfirmationAllWatchBeforeTheTimeout)
 {
   auto fleet = MakeFleet(91, 5);
   std::set<std::int64_t> delays;
   for (const Member& it : fleet) {
-    auto duty = MakeDuty(it);
+    auto selection = MakeSelection(it);
     auto others = Without(fleet, it);
     Time confirmedAt = mStartedAt + 10s;
-    duty.OnConfirmed(confirmedAt);
+    selection.OnConfirmed(confirmedAt);
     Time now = confirmedAt;
     while (now - confirmedAt <= kPropagationTimeout &&
-           !duty.WatchDuration(others, true, false, now)) {
+           !selection.WatchDuration(others, true, false, now)) {
       now += 10ms;
     }
     CHECK_TRUE(now - confirmedAt <= kPropagationTimeout - 500ms);
@@ -109,43 +112,44 @@
   CHECK_TRUE(delays.size() > 10);
 }
 
-TEST(StoreWatchDuty, AConfirmationEndsTheWatch)
+TEST(StoreWatcherSelection, AConfirmationEndsTheWatch)
 {
   auto fleet = MakeFleet(91, 5);
   auto watchers = Watchers(fleet);
   for (const Member& it : fleet) {
     bool isSelected =
       std::ranges::count(watchers, it.mHost, &Member::mHost) > 0;
-    auto duty = MakeDuty(it);
+    auto selection = MakeSelection(it);
     auto others = Without(fleet, it);
     Time now = mStartedAt + 10s;
-    CHECK_TRUE(duty.WatchDuration(others, true, false, now).has_value());
-    duty.OnConfirmed(now - 100ms);
+    CHECK_TRUE(selection.WatchDuration(others, true, false, now).has_value());
+    selection.OnConfirmed(now - 100ms);
     CHECK_EQUAL(isSelected,
-                duty.WatchDuration(others, true, false, now).has_value());
+                selection.WatchDuration(others, true, false, now).has_value());
   }
 }
 
 // A balancer was stalled. The notices queued meanwhile carry the confirmation's
 // age when they were sent, without the time in the queue.
-TEST(StoreWatchDuty, WatchesAfterAProcessStall)
+TEST(StoreWatcherSelection, WatchesAfterAProcessStall)
 {
   auto fleet = MakeFleet(91, 5);
-  auto duty = MakeDuty(fleet[0]);
+  auto selection = MakeSelection(fleet[0]);
   Time now = mStartedAt + 10s;
-  duty.OnConfirmed(now);
-  duty.OnProcessStall();
-  CHECK_TRUE(
-    duty.WatchDuration(Without(fleet, fleet[0]), true, false, now).has_value());
+  selection.OnConfirmed(now);
+  selection.OnProcessStall();
+  CHECK_TRUE(selection.WatchDuration(Without(fleet, fleet[0]), true, false, now)
+               .has_value());
 }
 
 // A balancer restarts while others run. Their compressed document arrives
 // within milliseconds; the store's takes half a second on a slow link.
-TEST(StoreWatchDuty, AtTheStartPeersAreQueriedBeforeTheStore)
+TEST(StoreWatcherSelection, AtTheStartPeersAreQueriedBeforeTheStore)
 {
-  auto duty = MakeDuty(MakeFleet(1, 1)[0]);
-  Time later = mStartedAt + StoreWatchDuty::kPeerResponseTimeout;
-  CHECK_FALSE(duty.WatchDuration({}, false, false, mStartedAt).has_value());
-  CHECK_FALSE(duty.WatchDuration({}, false, true, later).has_value());
-  CHECK_TRUE(duty.WatchDuration({}, false, false, later).has_value());
+  auto selection = MakeSelection(MakeFleet(1, 1)[0]);
+  Time later = mStartedAt + StoreWatcherSelection::kPeerResponseTimeout;
+  CHECK_FALSE(
+    selection.WatchDuration({}, false, false, mStartedAt).has_value());
+  CHECK_FALSE(selection.WatchDuration({}, false, true, later).has_value());
+  CHECK_TRUE(selection.WatchDuration({}, false, false, later).has_value());
 }
