--- a/src/decide/AdmissionOptions.h
+++ b/src/decide/AdmissionOptions.h
@@ -37,7 +37,7 @@
 {
   /** The most important class with queued requests goes first. */
   Importance,
-  /** Slot time is divided in proportion to the shares (the paper's method). */
+  /** Weighted fair sharing: slot time is divided in proportion to mShare. */
   Share,
 };
 
--- a/src/decide/AdmissionPolicy.cpp
+++ b/src/decide/AdmissionPolicy.cpp
@@ -23,7 +23,7 @@
   }
   return Fail(ErrorKind::InvalidInput,
               "unknown admission policy \"" + std::string(aName) + "\"",
-              "use reservation, priority or fifo");
+              "use \"reservation\", \"priority\" or \"fifo\"");
 }
 
 } // namespace heatherplank
--- a/src/decide/AdmissionPolicy.h
+++ b/src/decide/AdmissionPolicy.h
@@ -73,8 +73,8 @@
   virtual void OnDone(RequestId aId, RunResult aResult, Duration aServiceTime,
                       Time aNow, Actions& aOut) = 0;
 
-  /** The caller cancelled a request. True: it was queued and will not run;
-   * answer "not run". False: it runs or is unknown; OnDone is still due. */
+  /** The caller cancelled a request. True: it was queued and won't run; answer
+   * "not run". False: it runs and OnDone is still due, or the id is unknown. */
   virtual bool OnCancel(RequestId aId, Time aNow, Actions& aOut) = 0;
 
   /** The number of slots changed; running requests continue. */
--- a/src/decide/BalancingPolicy.cpp
+++ b/src/decide/BalancingPolicy.cpp
@@ -265,7 +265,8 @@
   }
   return Fail(ErrorKind::InvalidInput,
               "unknown balancing policy \"" + std::string(aName) + "\"",
-              "use random, rendezvous, two-choices or least-latency");
+              "use \"random\", \"rendezvous\", \"two-choices\" or "
+              "\"least-latency\"");
 }
 
 } // namespace heatherplank
--- a/src/decide/ClassState.h
+++ b/src/decide/ClassState.h
@@ -108,7 +108,8 @@
   std::uint32_t mRunning = 0;
   /** Slot time used, divided by the share; for ClassOrder::Share. */
   double mWeightedUse = 0;
-  /** Earliest time of the next probe. */
+  /** Earliest time at which a request may again be admitted as a probe,
+   * although its deadline looks unreachable. */
   Time mNextProbe;
   /** Time at which the queue was last observed empty. */
   Time mLastEmptyAt;
--- a/src/decide/OutlierDetector.cpp
+++ b/src/decide/OutlierDetector.cpp
@@ -16,6 +16,9 @@
 constexpr Duration kFirstEjection = 2s;
 constexpr Duration kMaxEjection = 30s;
 constexpr std::uint32_t kCapDivisor = 3;
+// Consecutive answers after which the next ejection is as short as the first.
+// Also the number of results that must follow the load report that last ejected
+// a host before another report on the host is evaluated.
 constexpr std::uint32_t kRecoveryAnswers = 5;
 // Consecutive failures that eject a host, without and with an unhealthy hint.
 // At a failure rate of 10 %, five in a row occur by chance once in 100,000
@@ -216,7 +219,7 @@
   }
   return Fail(ErrorKind::InvalidInput,
               "unknown outlier detector \"" + std::string(aName) + "\"",
-              "use consecutive or compared");
+              "use \"consecutive\" or \"compared\"");
 }
 
 } // namespace heatherplank
--- a/src/decide/OutlierDetector.h
+++ b/src/decide/OutlierDetector.h
@@ -10,7 +10,7 @@
 
 namespace heatherplank {
 
-/** Ejects failing hosts based on the results observed by the load balancer.
+/** Ejects failing hosts based on the results that agents observe and report.
  *
  * Guards against: a backend server that fails or is slow while its health and
  * load endpoints report that it is healthy. A host that fails fast always has
--- a/src/decide/ReturnPlanner.cpp
+++ b/src/decide/ReturnPlanner.cpp
@@ -8,8 +8,8 @@
 namespace {
 
 constexpr Duration kMaxWait = std::chrono::seconds(30);
-// A caller that returned sooner would be back before its refusal reduced the
-// load.
+// Shortest retry time given to a refused caller; sooner, its return would undo
+// the effect of the refusal.
 constexpr Duration kMinWait = std::chrono::milliseconds(5);
 constexpr int kJitterDivisor = 4;
 
--- a/src/decide/SlowStart.cpp
+++ b/src/decide/SlowStart.cpp
@@ -77,7 +77,7 @@
   }
   return Fail(ErrorKind::InvalidInput,
               "unknown slow start policy \"" + std::string(aName) + "\"",
-              "use time or answers");
+              "use \"time\" or \"answers\"");
 }
 
 } // namespace heatherplank
--- a/src/decide/WaitEstimate.cpp
+++ b/src/decide/WaitEstimate.cpp
@@ -40,10 +40,10 @@
     std::max(left, mean / kMinRemainingDivisor).count());
 }
 
-// The time at which the slots, becoming free one after the other, have
-// completed aWork. One long request occupies its own slot only; averaged over
-// all slots, it would cause refusal of short work that another slot can do at
-// once.
+// How long from now until the slots have completed aWork, if each slot works on
+// it from the end of the slot's running request. One long request occupies its
+// own slot only; averaged over all slots, it would cause refusal of short work
+// that another slot can do at once.
 double TimeToComplete(double aWork, const HostView& aHost, Time aNow)
 {
   boost::container::small_vector<double, 8> freeIn;
@@ -82,7 +82,8 @@
   return work;
 }
 
-// With ClassOrder::Share, the class's portion among the active classes.
+// With ClassOrder::Share: how many of aSlots the class gets while the other
+// active classes take their shares.
 double SlotsByShare(const HostView& aHost, std::size_t aClass, double aSlots)
 {
   const ClassState& self = *aHost.mClasses[aClass];
--- a/src/passthrough/BalancerDirectory.h
+++ b/src/passthrough/BalancerDirectory.h
@@ -42,7 +42,8 @@
 
   struct Options
   {
-    /** The part of the store's keys before the slash. */
+    /** Kind of the store's objects that hold balancer addresses; their keys
+     * are mKind/NameOf(address). */
     std::string mKind;
     /** This balancer's control address; none in an agent. */
     std::optional<Address> mSelf;
@@ -54,8 +55,8 @@
                                                  Options aOptions,
                                                  OnFound aOnFound);
 
-  /** Call some times a second. aHasNoPeers: no message of another process of
-   * this system arrived for a while. */
+  /** Call several times a second. aHasNoPeers: no message of another process
+   * of this system arrived for a while. */
   void OnTick(bool aHasNoPeers, Time aNow);
 
   /** Call when the store is back: this balancer's entry may be gone. */
--- a/src/passthrough/CandidateOrder.h
+++ b/src/passthrough/CandidateOrder.h
@@ -22,7 +22,8 @@
 struct OrderInputs
 {
   DataCentreId mDataCentre;
-  /** Whether a host was unresponsive when it was last needed. */
+  /** Whether the host left an offer unanswered recently (see
+   * PlacementWatch::IsSuspected). */
   std::function<bool(HostId)> mIsSuspected;
 };
 
--- a/src/passthrough/ColdRate.h
+++ b/src/passthrough/ColdRate.h
@@ -11,7 +11,7 @@
 
 /** Limits the new flows that a cold host is given in any window of one second.
  *
- * Pattern: the hosts of a data centre restart together with empty caches, and
+ * Load: the hosts of a data centre restart together with empty caches, and
  * all new flows are sent to them because they are the least loaded. A rate
  * above their capacity makes them fail again. The host's agent applies the
  * limit, since only the agent sees the flows from all balancers; a flow above
--- a/src/passthrough/FlowAdmission.cpp
+++ b/src/passthrough/FlowAdmission.cpp
@@ -59,8 +59,8 @@
   if (aOffer.mHasBest && !aOffer.mMustTake) {
     return FlowDecision::ToBest;
   }
-  // Offering the flow to a host that only seems down is better than a certain
-  // refusal.
+  // Offering the flow to a host that only seems down is better than refusing it
+  // for sure.
   return aHost.mTakesNewFlows ? FlowDecision::Take : FlowDecision::Refuse;
 }
 
--- a/src/passthrough/FlowAdmission.h
+++ b/src/passthrough/FlowAdmission.h
@@ -52,7 +52,7 @@
 
 /** Decides whether a host admits a new flow.
  *
- * Pattern: some ten hosts of two slots each at half load, 15 ms a request. With
+ * Load: some ten hosts of two slots each at half load, 15 ms a request. With
  * hosts picked regardless of load, requests queue at one host while other hosts
  * have free slots, and a load report that reaches a balancer is as old as a
  * request takes. The agent knows its host's current load, so a flow is
--- a/src/passthrough/FlowAgent.cpp
+++ b/src/passthrough/FlowAgent.cpp
@@ -25,8 +25,9 @@
 /** An agent reads the directory if no balancer confirmed a heartbeat for this
  * long. Balancers reply within milliseconds, and one heartbeat may be lost. */
 constexpr auto kUnconfirmedTimeout = std::chrono::milliseconds(2000);
-/** The same for an agent that no balancer has confirmed yet: after a power loss
- * the seeds may start last while other balancers wait for hosts. */
+/** kUnconfirmedTimeout for an agent that no balancer has confirmed yet. Short:
+ * after a power loss the balancers named in its settings (seeds) may start
+ * last, while others are up and have no hosts. */
 constexpr auto kInitialUnconfirmedTimeout = std::chrono::milliseconds(40);
 /** How long an agent keeps forwarding after it announced its stop, so that its
  * host can finish open flows. */
@@ -186,7 +187,7 @@
     CheckDirectory(mClock.Now());
   }
 
-  /** Reads the directory if no balancer confirms this host's heartbeats:
+  /** Reads the directory if no balancer confirms this agent's heartbeats:
    * without confirmation the host gets no flows. */
   void CheckDirectory(Time aNow)
   {
--- a/src/passthrough/FlowSearches.h
+++ b/src/passthrough/FlowSearches.h
@@ -13,8 +13,8 @@
 /** Tracks a balancer's pending searches for flows whose host is unknown, and
  * holds the packets that wait for a search to end.
  *
- * Guards against: the fabric moves an upload to another balancer, and the
- * sixteen packets that its caller has in flight arrive at once. If each packet
+ * Guards against: the fabric starts to send the packets of an upload to another
+ * balancer, and the sixteen in flight arrive there at once. If each packet
  * were searched for, it would be sent out many times and fill a link of 10
  * Mbit/s for a tenth of a second; callers would retransmit late packets, and
  * searches for the copies would keep the link full. At balancers with thin
--- a/src/passthrough/FlowSteering.cpp
+++ b/src/passthrough/FlowSteering.cpp
@@ -26,7 +26,8 @@
 constexpr auto kDelayedCopyDuration = std::chrono::milliseconds(500);
 
 /** For this long after its start, a balancer may not have discovered all hosts:
- * two heartbeats and one read of the directory.
+ * two heartbeats of the agents, and one read of the BalancerDirectory, in which
+ * balancers and agents find each other if their seeds are unreachable.
  *
  * Guards against: after a power loss of all VMs, a balancer that is up before
  * the hosts refuses each caller, which tries three times within 30 ms and gives
--- a/src/passthrough/FlowSteering.h
+++ b/src/passthrough/FlowSteering.h
@@ -39,6 +39,10 @@
  * forgotten flow is found again by querying the hosts in the candidate order of
  * the flow.
  *
+ * The packets come from the fabric, the network that spreads callers' packets
+ * over the balancers. It may send the packets of an open flow to another
+ * balancer at any time.
+ *
  * No I/O or clock access; not thread safe. */
 class FlowSteering
 {
@@ -70,7 +74,7 @@
   /** Handles a packet from a caller. */
   void OnPacket(ByteView aDatagram, Time aNow);
 
-  /** An agent returned the packet because its host does not hold the flow. */
+  /** An agent sent the packet back: its host does not hold the flow. */
   void OnNotHere(SteeredPacket aSteered, Time aNow);
 
   void OnReport(const PlacementReport& aReport, Time aNow);
--- a/src/passthrough/FlowSteeringSearch.cpp
+++ b/src/passthrough/FlowSteeringSearch.cpp
@@ -99,8 +99,8 @@
   LogFlow("hint_wrong", { { "flow", flow.ToString() } });
   std::uint64_t hash = HashFlow(flow);
   mHints.Erase(hash);
-  // A packet sent by an earlier incarnation may be returned before this one has
-  // routes.
+  // An agent may send back a packet of this balancer's earlier incarnation
+  // before this incarnation has routes.
   const FlowRoute* route =
     mInventory ? mInventory->Find(flow.mService) : nullptr;
   if (route != nullptr) {
--- a/src/passthrough/HostAnnouncement.h
+++ b/src/passthrough/HostAnnouncement.h
@@ -19,7 +19,8 @@
   Gone,
 };
 
-/** State that a host sends to its agent about once per heartbeat interval. */
+/** State that a host sends to its agent, about once per announcement interval
+ * (FlowAgentSettings::mHostHeartbeatMs). */
 struct HostAnnouncement
 {
   /** Identifies the host; a restarted host may keep its id. */
--- a/src/passthrough/HostFlows.cpp
+++ b/src/passthrough/HostFlows.cpp
@@ -14,7 +14,7 @@
 constexpr auto kAnswerTimeout = std::chrono::milliseconds(120);
 /** A host that seems down is offered one flow per interval. */
 constexpr auto kRetryInterval = std::chrono::milliseconds(250);
-/** A host sends its first announcement within one heartbeat interval of its
+/** A host sends its first announcement within one announcement interval of its
  * start. */
 constexpr auto kMaxFirstAnnouncementDelay = std::chrono::milliseconds(1500);
 
--- a/src/passthrough/HostFlows.h
+++ b/src/passthrough/HostFlows.h
@@ -61,7 +61,8 @@
   Searched,
   /** A packet of an unknown flow was delivered to the host as a probe. */
   Probed,
-  /** The host returned a packet. */
+  /** The host returned a packet to this agent: it does not hold the flow or
+   * could not accept the packet. */
   Bounced,
   FlowLost,
   /** A search found the flow at none of the candidates. */
@@ -98,8 +99,8 @@
  *
  * The host is authoritative for the flows that it holds; the table records the
  * packets seen in both directions. An agent that restarted probes the host by
- * delivering a packet of an unknown flow: the host returns the packet if it
- * does not hold the flow. No I/O or clock access; not thread safe.
+ * delivering a packet of an unknown flow: the host returns the packet to the
+ * agent if it does not hold the flow. No I/O or clock access; not thread safe.
  */
 class HostFlows
 {
@@ -129,7 +130,7 @@
   /** A packet from a balancer or another agent. */
   void OnSteered(SteeredPacket aSteered, Time aNow);
 
-  /** A packet that the host sent or returned. */
+  /** A packet from the host: to a caller, or returned to this agent. */
   void OnHostPacket(ByteView aPacket, Time aNow);
 
   AnnouncementEffect OnAnnouncement(const HostAnnouncement& aAnnouncement,
@@ -164,8 +165,8 @@
 
   enum class Stage : std::uint8_t
   {
-    /** The host returned a packet of the flow: it does not hold the flow, and
-     * will not hold it before an opening packet arrives.
+    /** The host returned a packet of the flow to this agent: it does not hold
+     * the flow, and will not hold it before an opening packet arrives.
      *
      * Failure met: while the agent of a flow's host restarts, the balancers
      * search for each packet that the caller retransmits, and all agents that
@@ -197,15 +198,16 @@
     Address mNotifiedBalancer;
   };
   using Table = BoundedTable<Flow>;
-  /** How to forward a packet if the host returns it. */
+  /** How to forward a packet if the host returns it to this agent. */
   struct Pending
   {
     std::uint32_t mTag = 0;
     FlowKey mFlow;
     SteeredPacket mSteered;
   };
-  /** Packets that the host may still return. A round trip within the VM takes
-   * at most 1 ms, and a host receives a few thousand packets a second. */
+  /** Packets that the host may still return to this agent. A round trip within
+   * the VM takes at most 1 ms, and a host receives a few thousand packets a
+   * second. */
   static constexpr std::size_t kMaxPending = 256;
 
   void Place(SteeredPacket& aSteered, const FlowPacket& aPacket, Time aNow);
--- a/src/passthrough/HostFlowsDelivery.cpp
+++ b/src/passthrough/HostFlowsDelivery.cpp
@@ -1,5 +1,5 @@
 // Packets of existing flows: delivery, the search for a flow's host, and the
-// packets that the host sends and returns.
+// packets that the host sends to callers or returns to its agent.
 #include <algorithm>
 #include <utility>
 
@@ -21,7 +21,8 @@
 
 /** Whether the caller's packet belongs to a flow that was opened at this host.
  * Two hosts may have replied to copies of one opening packet; the caller's
- * acknowledgement number matches the host that the caller chose. */
+ * acknowledgement number matches the host that the caller chose. Also true for
+ * a packet without an acknowledgement number, which can't show the choice. */
 bool HostFlows::IsOpenHere(Flow& aFlow, const FlowPacket& aPacket) const
 {
   if (aFlow.mStage == Stage::Open || !aFlow.mHostSequenceKnown) {
@@ -161,7 +162,7 @@
   pending.mTag = tag;
   pending.mFlow = aFlow;
   pending.mSteered = aSteered;
-  // A returned packet brings its bytes with it.
+  // The host returns the whole packet, so its bytes need not be stored.
   pending.mSteered.mPacket.clear();
   return tag;
 }
@@ -182,8 +183,10 @@
   mOutput.ToCaller(packet->mDestination, aPacket);
 }
 
-/** The host does not hold the flow, or has no room for it. The packet is
- * forwarded unchanged to the next candidate; its tag identifies the request.
+/** The host returned the packet to this agent: it does not hold the flow, or
+ * has no room for it. The packet's tag identifies the entry of mPending that
+ * lists the candidates. The packet is forwarded to the next of them, unchanged
+ * but for the tag and the flag of a returned packet, which are cleared.
  * Each candidate is tried once, so the search terminates. */
 void HostFlows::OnReturned(ByteView aBytes, const FlowPacket& aPacket,
                            Time aNow)
--- a/src/passthrough/IsolationWatch.h
+++ b/src/passthrough/IsolationWatch.h
@@ -28,9 +28,10 @@
  * VMs return from a power loss, each agent greets every balancer that it learns
  * of and then sends heartbeats to its few monitors only. Balancers that believe
  * that they monitor the other agents receive nothing more from them, report
- * isolation one after the other for a second or so, and the fabric moves nearly
- * all flows each time. So a balancer that misses heartbeats probes some agents,
- * and only agents that do not answer the probe count.
+ * isolation one after the other for a second or so, and each time the fabric
+ * sends nearly all flows to other balancers. So a balancer that misses
+ * heartbeats probes some agents, and only agents that do not answer the probe
+ * count.
  *
  * Not thread safe. */
 class IsolationWatch
--- a/src/passthrough/PacketFormat.h
+++ b/src/passthrough/PacketFormat.h
@@ -18,8 +18,8 @@
   bool mAck = false;
   bool mFin = false;
   bool mReset = false;
-  /** The host returned the packet: it does not hold the flow or could not
-   * accept the packet. */
+  /** The host returned the packet to its agent: it does not hold the flow or
+   * could not accept the packet. */
   bool mBounced = false;
   /** Written by PacketFormat::Tag; a packet that the host returns keeps it. */
   std::uint32_t mTag = 0;
@@ -47,8 +47,8 @@
   virtual std::optional<FlowPacket> Parse(ByteView aDatagram) const = 0;
 
   /** Prepares a packet for a host: writes a tag that the packet keeps if the
-   * host returns it, and clears the flag of a returned packet. Precondition:
-   * Parse accepts aPacket. */
+   * host returns it to its agent, and clears FlowPacket::mBounced.
+   * Precondition: Parse accepts aPacket. */
   virtual void Tag(std::span<std::uint8_t> aPacket,
                    std::uint32_t aTag) const = 0;
 
--- a/src/passthrough/PassthroughSettings.h
+++ b/src/passthrough/PassthroughSettings.h
@@ -66,9 +66,9 @@
   Address mHostInbox;
   /** UDP: where the host sends packets to. */
   Address mHostOutbox;
-  /** HTTP: receives the host's heartbeats and other calls. */
+  /** HTTP: receives the host's announcements and other calls. */
   Address mHostCalls;
-  /** Interval of the host's heartbeats, ms. */
+  /** Interval of the host's announcements, ms. */
   std::uint32_t mHostHeartbeatMs = 1200;
   /** Maximum number of flows that the agent tracks. */
   std::uint32_t mMaxFlows = 16384;
--- a/src/passthrough/PlacementWatch.h
+++ b/src/passthrough/PlacementWatch.h
@@ -112,6 +112,8 @@
     return mWatched.contains(aFlow);
   }
 
+  /** Whether an offer to the host as first candidate timed out within the last
+   * kSuspicionDuration, and the host has not answered since. */
   bool IsSuspected(HostId aHost, Time aNow) const;
 
   /** Call when the host has answered. */
--- a/src/passthrough/ServiceTime.h
+++ b/src/passthrough/ServiceTime.h
@@ -17,7 +17,7 @@
  * surge. The response time is therefore divided by the number of rounds: one,
  * plus the requests ahead divided by the slots.
  *
- * Pattern: a mass return, where most flows are placed before any host has
+ * Load: a mass return, where most flows are placed before any host has
  * answered. An initial estimate far below the processing time fills each queue
  * so that every answer is late. Callers set targets in proportion to the work
  * that they request, so the initial estimate is a share of the target, and a
--- a/src/passthrough/SteerMessages.h
+++ b/src/passthrough/SteerMessages.h
@@ -18,7 +18,8 @@
   Deliver = 1,
   /** Deliver the packet if the host holds the flow, else forward it. */
   Search = 2,
-  /** Returned to the balancer: the receiver of a Deliver lacks the flow. */
+  /** An agent sends a Deliver back to the balancer: its host does not hold the
+   * flow. */
   NotHere = 3,
   /** A Search that the receiver splits into concurrent SearchWalks. */
   FanOut = 4,
--- a/src/passthrough/StoreWatchDuty.cpp
+++ b/src/passthrough/StoreWatchDuty.cpp
@@ -12,7 +12,8 @@
 /** Any fixed value: all balancers select the same watchers by it. */
 constexpr std::uint64_t kRankSeed = 0x726f75746573;
 
-/** The longest watch, as a share of the propagation timeout. */
+/** In a fleet above kSmallFleetSize: the longest time that one watch call
+ * waits, as a share of Options::mPropagationTimeout. */
 constexpr double kWatchShare = 0.5;
 /** How long a confirmation is valid, as a share of the propagation timeout. The
  * rest is left for the store call and the transfer of the document. */
--- a/tests/AdminApiTest.cpp
+++ b/tests/AdminApiTest.cpp
@@ -88,7 +88,8 @@
   STRCMP_EQUAL("\"1\"", std::string(got[http::field::etag]).c_str());
   Expect(200, "\"version\":2",
          Call(put, "/v1/policy", kAna, R"({"name": "random"})"));
-  Expect(400, "use random", Call(put, "/v1/policy", kAna, R"({"name": "x"})"));
+  Expect(400, R"(use \"random\")",
+         Call(put, "/v1/policy", kAna, R"({"name": "x"})"));
   Expect(200, "\"version\":3", Call(put, "/v1/drains/cover-desk-1", kAna));
   Expect(200, "\"drained_hosts\":[\"cover-desk-1\"]",
          Call(get, "/v1/config", kBen));
--- a/tests/AdmissionTest.cpp
+++ b/tests/AdmissionTest.cpp
@@ -280,7 +280,7 @@
   }
 }
 
-// Busy flows queue up here while another host idles. If hosts with stale load
+// Requests queue up here while another host idles. If hosts with stale load
 // reports forwarded on every small difference, requests would move back and
 // forth.
 TEST(Admission, QueuedRequestIsForwardedOnlyForAClearGain)
--- a/tests/CommandsTest.cpp
+++ b/tests/CommandsTest.cpp
@@ -86,7 +86,7 @@
   Expect(ExitCode::Ok, "~ policy: two-choices -> random", RunPolicy,
          { "set", "random" });
   Expect(ExitCode::Ok, "random, in version 2, written by ana", RunPolicy, {});
-  Expect(ExitCode::Usage, "use random, rendezvous", RunPolicy,
+  Expect(ExitCode::Usage, "use \"random\", \"rendezvous\"", RunPolicy,
          { "set", "best" });
   Expect(ExitCode::Ok, "+ drained host cover-desk-2", RunDrain,
          { "cover-desk-2" });
--- a/tests/FlowSteeringTest.cpp
+++ b/tests/FlowSteeringTest.cpp
@@ -171,9 +171,10 @@
   CHECK(mOut.mSteered[4].second.mPurpose == SteerPurpose::FanOut);
 }
 
-// The fabric moves an upload, and sixteen of its packets arrive at once at a
-// balancer that does not know the host. One search finds the host; the other
-// packets wait for its result and are delivered once each, in order.
+// The fabric starts to send the packets of an upload to another balancer;
+// sixteen arrive there at once, and the balancer does not know the flow's host.
+// One search finds the host; the other packets wait for its result and are
+// delivered once each, in order.
 TEST(FlowSteering, BurstOfPacketsStartsOneSearch)
 {
   SetRoutes();
@@ -228,9 +229,9 @@
   CHECK_EQUAL(20, std::set<Address>(queried.begin(), queried.end()).size());
 }
 
-// Agents fail in turn while the fabric moves flows. Repeated searches must not
-// all end at the same dead agent: the host of the flow would get no packet
-// until membership detects the failure.
+// Agents fail in turn while the fabric sends flows to other balancers. Repeated
+// searches must not all end at the same dead agent: the host of the flow would
+// get no packet until membership detects the failure.
 TEST(FlowSteering, RepeatedSearchesPassADeadAgent)
 {
   SetRoutes();
@@ -372,8 +373,8 @@
 }
 
 // A balancer was killed and restarts. A stalled agent then answers messages of
-// the earlier incarnation: it refuses a flow and returns a packet. The new
-// process has no routes yet; it must neither crash nor send the caller
+// the earlier incarnation: it refuses a flow and sends a packet back. The
+// new process has no routes yet; it must neither crash nor send the caller
 // anything.
 TEST(FlowSteering, AnswersToAnEarlierIncarnationDoNoHarmWithoutRoutes)
 {
--- a/tests/InventoryPeersTest.cpp
+++ b/tests/InventoryPeersTest.cpp
@@ -63,7 +63,7 @@
   CHECK_EQUAL(0, Receive(NoticeOf(0, 5)).size());
 }
 
-// A link is slower than configured, and no document arrives within the timeout.
+// A link is slower than configured, and no routes document arrives in time.
 // Requests at a constant interval would keep it full with copies.
 TEST(InventoryPeers, EachMissingDocumentDoublesTheTimeout)
 {
@@ -92,7 +92,8 @@
 }
 
 // A balancer that starts has no routes and sends version 0 to some others.
-// Those with routes respond, and it requests the document from the first.
+// Those with routes respond, and it requests the routes document from the first
+// of them.
 TEST(InventoryPeers, ANoticeWithAnOlderVersionIsAnswered)
 {
   auto response = Receive(NoticeOf(1, 0));
@@ -114,8 +115,8 @@
   CHECK_EQUAL(1, Receive(NoticeOf(1, 9)).size());
 }
 
-// After a power loss all balancers request the document at once from the first
-// one that has routes. Its callers' packets need most of its link.
+// After a power loss all balancers request the routes document at once from the
+// first balancer that has one. Its callers' packets need most of its link.
 TEST(InventoryPeers, DocumentsUseNoMoreThanTheirShareOfTheLink)
 {
   constexpr std::size_t kDocument = 100;
--- a/tests/InventoryWatchTest.cpp
+++ b/tests/InventoryWatchTest.cpp
@@ -209,8 +209,9 @@
 }
 
 // A response is queued on a full link, and the routes change meanwhile. Other
-// balancers rely on this balancer's confirmation, so it must not count from
-// when the response arrived.
+// balancers rely on this balancer's confirmation that the routes are current,
+// so it must be dated to the earliest time at which the store can have sent the
+// response.
 TEST(InventoryWatch, ADelayedResponseConfirmsAsOfTheEarliestSendTime)
 {
   Time calledAt = mClock.Now();
--- a/tests/IsolationWatchTest.cpp
+++ b/tests/IsolationWatchTest.cpp
@@ -65,9 +65,9 @@
   CHECK_FALSE(IsIsolated());
 }
 
-// The cut lasts longer than unresponsive agents are remembered. A balancer that
-// then removed the agents it used to receive from would report ready during the
-// cut.
+// The cut lasts longer than unresponsive agents are remembered. If the balancer
+// forgot these agents meanwhile, it would know no unresponsive agent and report
+// ready.
 TEST(IsolationWatch, IsolationLastsThroughALongCut)
 {
   Receive(0, kAgents);
@@ -105,8 +105,8 @@
 // All VMs return from a power loss. Each agent greets every balancer, then
 // sends heartbeats to its three monitors only. A balancer that does not know
 // all other balancers yet believes that it monitors nearly all agents, and
-// receives heartbeats from few. If it reported isolation, the fabric would move
-// nearly all flows, twice.
+// receives heartbeats from few. If it reported isolation, the fabric would send
+// nearly all flows to other balancers, twice.
 TEST(IsolationWatch, AgentsThatOnlyAnswerProbesAreNoIsolation)
 {
   Receive(0, kAgents);
--- a/tests/PassthroughExplorationTest.cpp
+++ b/tests/PassthroughExplorationTest.cpp
@@ -104,7 +104,7 @@
          GuardCase{ "acknowledgement match",
                     &HostFlowGuards::mMatchAcknowledged },
          GuardCase{ "query of unknown flows", &HostFlowGuards::mAskUnknown },
-         GuardCase{ "wait for the first heartbeat",
+         GuardCase{ "wait for the first announcement",
                     &HostFlowGuards::mHearFirst },
        }) {
     PassthroughWorld::Options options;
@@ -115,8 +115,9 @@
 }
 
 // The operator drains a data centre while balancers and agents restart, hosts
-// crash and drain, and packets are delayed. The balancers alone prevent new
-// flows there, or the agents, if one balancer is not notified of the drain.
+// crash and drain, and packets are delayed. Two runs: agents are not notified,
+// so the balancers must prevent new flows; then one balancer misses the drain,
+// so the agents must.
 TEST(PassthroughExploration, NoFlowOpensInADrainedDataCentre)
 {
   PassthroughWorld::Options options;
@@ -128,8 +129,8 @@
   CHECK_EQUAL(0, Explore(1, kSchedules, options).mViolations.size());
 }
 
-// The agents' part is needed: without notified agents, the balancer that misses
-// the drain opens flows there.
+// If agents are not notified either, the balancer that misses the drain opens
+// flows in the drained data centre.
 TEST(PassthroughExploration, ABalancerWithoutTheDrainOpensFlowsUnlessAgentsKnow)
 {
   PassthroughWorld::Options options;
--- a/tests/PassthroughWorldHosts.cpp
+++ b/tests/PassthroughWorldHosts.cpp
@@ -28,7 +28,7 @@
       host->mDrainAcknowledgedAt = mClock.Now();
     }
     HostState before = aAgent.State();
-    // Agents accept calls only from hosts of their service.
+    // An agent ignores announcements from a host of another service.
     if (host->mService == aAgent.mService) {
       aAgent.mFlows->OnAnnouncement(announcement, mClock.Now());
       NotifyDrained(aAgent);
--- a/tests/PassthroughWorldParts.h
+++ b/tests/PassthroughWorldParts.h
@@ -26,7 +26,7 @@
 inline constexpr auto kMaxDeliveryDelay = 5ms;
 
 /** Every balancer that is notified of a drain knows it within this time, and an
- * agent one heartbeat later. */
+ * agent at most one kHeartbeatInterval later. */
 inline constexpr auto kDrainPropagationTime = 100ms;
 /** Flows offered to a host before the drain are placed within this time,
  * including those of delayed retransmissions, and those offered to a second
