--- a/src/passthrough/FlowAdmission.cpp
+++ b/src/passthrough/FlowAdmission.cpp
@@ -59,8 +59,8 @@
   if (aOffer.mHasBest && !aOffer.mIsLastOffer) {
     return FlowDecision::ForwardToBest;
   }
-  // Offering the flow to a host that only seems down is better than a certain
-  // refusal.
+  // Offering the flow to a host that only seems down is better than refusing it
+  // for sure.
   return aHost.mTakesNewFlows ? FlowDecision::Admit : FlowDecision::Refuse;
 }
 
