--- a/src/replay/Player.cpp
+++ b/src/replay/Player.cpp
@@ -9,18 +9,18 @@
 
 using namespace std::chrono_literals;
 
-constexpr Duration kMove = 1ms;
-constexpr Duration kQuickEnd = 1ms;
-constexpr Duration kImpatience = 50ms;
-constexpr Duration kPlatformRetry = 1s;
+constexpr Duration kForwardDelay = 1ms;
+constexpr Duration kFastFailureTime = 1ms;
+constexpr Duration kImmediateReturnDelay = 50ms;
+constexpr Duration kPlatformRetryAfter = 1s;
 
 } // namespace
 
 Result<std::unique_ptr<Player>> Player::Make(const PlayerOptions& aOptions)
 {
   if (aOptions.mService.mHosts.empty()) {
-    return Fail(ErrorKind::InvalidInput, "a fleet without hosts",
-                "give it one host at least");
+    return Fail(ErrorKind::InvalidInput, "the fleet has no hosts",
+                "configure at least one host");
   }
   std::unique_ptr<Player> made(new Player(aOptions));
   for (const auto& it : aOptions.mService.mHosts) {
@@ -28,12 +28,12 @@
       return tl::unexpected(*error);
     }
   }
-  if (auto error = made->AddGuards()) {
+  if (auto error = made->AddHealthTracking()) {
     return tl::unexpected(*error);
   }
   made->ResetTally();
-  made->Exchange();
-  made->NoteImbalance();
+  made->ExchangeLoads();
+  made->RecordImbalance();
   return made;
 }
 
@@ -58,7 +58,7 @@
   return std::nullopt;
 }
 
-std::optional<Error> Player::AddGuards()
+std::optional<Error> Player::AddHealthTracking()
 {
   if (mOptions.mSlowStart != "off") {
     auto start = MakeSlowStart(mOptions.mSlowStart);
@@ -88,7 +88,7 @@
   , mNow(mStart)
   , mRetries(aOptions.mRetryBudget)
   , mPlatformReturns(aOptions.mSeed, aOptions.mGuards.mSpreadReturns)
-  , mExchangedAt(mStart)
+  , mLoadsExchangedAt(mStart)
 {
   mAdmission.mOrder = aOptions.mOrder;
   mAdmission.mGuards = aOptions.mGuards;
@@ -96,83 +96,84 @@
 
 Player::~Player() = default;
 
-void Player::At(Duration aTime, std::function<void()> aWhat)
+void Player::At(Duration aTime, std::function<void()> aCallback)
 {
-  ++mPlanned;
-  auto what = [this, aWhat = std::move(aWhat)] {
-    --mPlanned;
-    aWhat();
+  ++mScheduledCount;
+  auto callback = [this, aCallback = std::move(aCallback)] {
+    --mScheduledCount;
+    aCallback();
   };
-  mEvents.push({ mStart + aTime, ++mLast, std::move(what) });
+  mEvents.push({ mStart + aTime, ++mLastSequence, std::move(callback) });
 }
 
-void Player::After(Duration aWait, std::function<void()> aWhat)
+void Player::ScheduleAfter(Duration aDelay, std::function<void()> aCallback)
 {
-  mEvents.push({ mNow + aWait, ++mLast, std::move(aWhat) });
+  mEvents.push({ mNow + aDelay, ++mLastSequence, std::move(aCallback) });
 }
 
 void Player::Arrive(const Arrival& aArrival)
 {
-  Ongoing ongoing;
-  ongoing.mArrival = aArrival;
-  ClassTally& tally = TallyOf(ongoing);
+  RequestState state;
+  state.mArrival = aArrival;
+  ClassTally& tally = TallyFor(state);
   ++tally.mOffered;
   tally.mWantedWork += aArrival.mTakes;
   mTally.mLastArrival = Now();
-  ++mUnderWay;
+  ++mRequestsInProgress;
   mRetries.OnFirstAttempt();
-  Attempt(ongoing);
+  SendAttempt(state);
 }
 
-// One time that the caller sends its request.
-void Player::Attempt(Ongoing aOngoing)
+// Sends the request once; a returning caller sends it again after a refusal.
+void Player::SendAttempt(RequestState aState)
 {
-  const Duration own = mAdmission.mClasses[aOngoing.mArrival.mClass].mDeadline;
-  const Duration stated = aOngoing.mArrival.mDeadline;
-  aOngoing.mSentAt = mNow;
-  aOngoing.mDeadline = mNow + (stated > Duration{} ? stated : own);
-  aOngoing.mHops = 0;
-  ++TallyOf(aOngoing).mAttempts;
-  const RequestId id = ++mLast;
-  mOngoing.emplace(id, aOngoing);
-  if (NeverRepeats(aOngoing) && !mPlatformUp) {
-    const Duration wait = mPlatformReturns.Next(mNow, kPlatformRetry, 1ms);
-    Refused(id, RefusalReason::PlatformDown, wait);
+  const Duration classDefault =
+    mAdmission.mClasses[aState.mArrival.mClass].mDeadline;
+  const Duration requested = aState.mArrival.mDeadline;
+  aState.mSentAt = mNow;
+  aState.mDeadline = mNow + (requested > Duration{} ? requested : classDefault);
+  aState.mHops = 0;
+  ++TallyFor(aState).mAttempts;
+  const RequestId id = ++mLastSequence;
+  mRequests.emplace(id, aState);
+  if (IsNeverRepeated(aState) && !mPlatformUp) {
+    const Duration wait = mPlatformReturns.Next(mNow, kPlatformRetryAfter, 1ms);
+    OnRefused(id, RefusalReason::PlatformDown, wait);
     return;
   }
-  Deliver(OwnerOf(aOngoing.mArrival.mFlow), id);
+  Deliver(OwnerOf(aState.mArrival.mFlow), id);
 }
 
 void Player::Deliver(std::size_t aHost, RequestId aId)
 {
   Actions actions;
-  const Request request = RequestOf(aId, mOngoing.at(aId));
+  const Request request = MakeRequest(aId, mRequests.at(aId));
   mHosts[aHost]->mAdmission->OnRequest(request, mNow, actions);
-  Carry(aHost, actions);
+  ExecuteAll(aHost, actions);
 }
 
-Request Player::RequestOf(RequestId aId, const Ongoing& aOngoing) const
+Request Player::MakeRequest(RequestId aId, const RequestState& aState) const
 {
   Request request;
   request.mId = aId;
-  request.mClass = aOngoing.mArrival.mClass;
-  request.mHops = aOngoing.mHops;
-  request.mSize = aOngoing.mArrival.mSize;
-  request.mCaller = aOngoing.mArrival.mCaller;
-  request.mArrival = aOngoing.mSentAt;
-  request.mDeadline = aOngoing.mDeadline;
+  request.mClass = aState.mArrival.mClass;
+  request.mHops = aState.mHops;
+  request.mSize = aState.mArrival.mSize;
+  request.mCaller = aState.mArrival.mCaller;
+  request.mArrival = aState.mSentAt;
+  request.mDeadline = aState.mDeadline;
   return request;
 }
 
-void Player::Carry(std::size_t aHost, const Actions& aActions)
+void Player::ExecuteAll(std::size_t aHost, const Actions& aActions)
 {
   for (const auto& it : aActions) {
-    CarryOne(aHost, it);
+    Execute(aHost, it);
   }
-  WakeLater(aHost);
+  ScheduleWakeUp(aHost);
 }
 
-void Player::CarryOne(std::size_t aHost, const Action& aAction)
+void Player::Execute(std::size_t aHost, const Action& aAction)
 {
   const RequestId id = aAction.mId;
   switch (aAction.mKind) {
@@ -181,14 +182,14 @@
       break;
     case ActionKind::Refuse:
     case ActionKind::Expire:
-      Refused(id, aAction.mReason, aAction.mRetryAfter);
+      OnRefused(id, aAction.mReason, aAction.mRetryAfter);
       break;
     case ActionKind::HandOn: {
-      Ongoing& ongoing = mOngoing.at(id);
-      ++ongoing.mHops;
-      ++TallyOf(ongoing).mHandedOn;
+      RequestState& state = mRequests.at(id);
+      ++state.mHops;
+      ++TallyFor(state).mForwarded;
       const std::size_t target = IndexOf(aAction.mTarget);
-      After(kMove, [this, target, id] { Deliver(target, id); });
+      ScheduleAfter(kForwardDelay, [this, target, id] { Deliver(target, id); });
       break;
     }
   }
@@ -196,14 +197,15 @@
 
 void Player::Dispatch(std::size_t aHost, RequestId aId)
 {
-  Ongoing& ongoing = mOngoing.at(aId);
+  RequestState& state = mRequests.at(aId);
   const Host& host = *mHosts[aHost];
-  const auto end = [this, aHost, aId](RunResult aResult, Duration aTook) {
-    After(aTook, [=, this] { End(aHost, aId, aResult, aTook); });
+  const auto end = [this, aHost, aId](RunResult aResult, Duration aDuration) {
+    ScheduleAfter(aDuration,
+                  [=, this] { OnRunEnd(aHost, aId, aResult, aDuration); });
   };
-  const Duration left = ongoing.mDeadline - mNow;
-  if (left <= Duration{}) {
-    // The backend server does not run what is past its deadline.
+  const Duration remaining = state.mDeadline - mNow;
+  if (remaining <= Duration{}) {
+    // The backend server does not run a request whose deadline has passed.
     end(RunResult::TimedOut, Duration{});
     return;
   }
@@ -212,51 +214,52 @@
     return;
   }
   if (host.mBehaviour.mSheds) {
-    end(RunResult::Shed, kQuickEnd);
+    end(RunResult::Shed, kFastFailureTime);
     return;
   }
   if (host.mBehaviour.mFails) {
-    end(RunResult::Failed, kQuickEnd);
+    end(RunResult::Failed, kFastFailureTime);
     return;
   }
-  TallyOf(ongoing).mRunTwice += ongoing.mMayHaveRun ? 1 : 0;
-  ongoing.mMayHaveRun = true;
-  const auto took = std::chrono::duration_cast<Duration>(
-    ongoing.mArrival.mTakes * host.Slowness());
-  const bool inTime = took <= left;
-  end(inTime ? RunResult::Answered : RunResult::TimedOut, std::min(took, left));
+  TallyFor(state).mRunTwice += state.mMayHaveRun ? 1 : 0;
+  state.mMayHaveRun = true;
+  const auto duration = std::chrono::duration_cast<Duration>(
+    state.mArrival.mTakes * host.SlownessFactor());
+  const bool inTime = duration <= remaining;
+  end(inTime ? RunResult::Answered : RunResult::TimedOut,
+      std::min(duration, remaining));
 }
 
-void Player::End(std::size_t aHost, RequestId aId, RunResult aResult,
-                 Duration aTook)
+void Player::OnRunEnd(std::size_t aHost, RequestId aId, RunResult aResult,
+                      Duration aDuration)
 {
   Host& host = *mHosts[aHost];
-  mTally.mHosts[host.mName].mBusy += aTook;
-  host.mBusy += aTook;
+  mTally.mHosts[host.mName].mBusy += aDuration;
+  host.mBusy += aDuration;
   Actions actions;
-  host.mAdmission->OnDone(aId, aResult, aTook, mNow, actions);
+  host.mAdmission->OnDone(aId, aResult, aDuration, mNow, actions);
   Conclude(aHost, aId, aResult);
-  Carry(aHost, actions);
+  ExecuteAll(aHost, actions);
 }
 
-// What the caller learns from the end of a run.
+// Records the outcome of a run, or retries the request on another host.
 void Player::Conclude(std::size_t aHost, RequestId aId, RunResult aResult)
 {
-  Ongoing& ongoing = mOngoing.at(aId);
-  ClassTally& tally = TallyOf(ongoing);
+  RequestState& state = mRequests.at(aId);
+  ClassTally& tally = TallyFor(state);
   Host& host = *mHosts[aHost];
   switch (aResult) {
     case RunResult::Shed:
-      TryElsewhere(aHost, aId, AttemptEnd::Shed);
+      RetryOnOtherHost(aHost, aId, AttemptEnd::Shed);
       return;
     case RunResult::Unreachable:
-      TryElsewhere(aHost, aId, AttemptEnd::ConnectFailed);
+      RetryOnOtherHost(aHost, aId, AttemptEnd::ConnectFailed);
       return;
     case RunResult::Answered:
       ++tally.mAnswered;
-      tally.mAnsweredWork += ongoing.mArrival.mTakes;
-      tally.mLatencies.push_back(mNow - ongoing.mSentAt);
-      tally.mAnswers.emplace_back(Now(), ongoing.mArrival.mTakes);
+      tally.mAnsweredWork += state.mArrival.mTakes;
+      tally.mLatencies.push_back(mNow - state.mSentAt);
+      tally.mAnswers.emplace_back(Now(), state.mArrival.mTakes);
       ++mTally.mHosts[host.mName].mAnswered;
       ++host.mAnswersSinceStart;
       if (mSlowStart) {
@@ -271,68 +274,69 @@
       ++tally.mLate;
       break;
   }
-  mOngoing.erase(aId);
-  --mUnderWay;
+  mRequests.erase(aId);
+  --mRequestsInProgress;
 }
 
-void Player::TryElsewhere(std::size_t aHost, RequestId aId, AttemptEnd aEnd)
+void Player::RetryOnOtherHost(std::size_t aHost, RequestId aId, AttemptEnd aEnd)
 {
-  Ongoing& ongoing = mOngoing.at(aId);
-  const RetryAdvice advice = AdviseRetry(aEnd, NeverRepeats(ongoing));
-  std::vector<Candidate> others = CandidatesOf(ongoing.mArrival.mFlow);
+  RequestState& state = mRequests.at(aId);
+  const RetryAdvice advice = AdviseRetry(aEnd, IsNeverRepeated(state));
+  std::vector<Candidate> others = CandidatesFor(state.mArrival.mFlow);
   std::erase_if(others, [this, aHost](const Candidate& aIt) {
     return aIt.mHost == mHosts[aHost]->mId;
   });
   const bool mayRetry =
     advice.mPlace == RetryPlace::OtherHost && !others.empty();
   if (!mayRetry || !mRetries.TryRetry()) {
-    Refused(aId,
-            mayRetry ? RefusalReason::RetryBudget : RefusalReason::BackendShed,
-            mPlatformReturns.Next(mNow, 200ms, 1ms));
+    OnRefused(
+      aId, mayRetry ? RefusalReason::RetryBudget : RefusalReason::BackendShed,
+      mPlatformReturns.Next(mNow, 200ms, 1ms));
     return;
   }
   auto& policy = *mHosts[aHost]->mBalancing;
-  const auto pick = policy.Pick(ongoing.mArrival.mFlow, others, mNow);
+  const auto pick = policy.Pick(state.mArrival.mFlow, others, mNow);
   const std::size_t target = IndexOf(others[pick].mHost);
-  ++ongoing.mHops;
-  ++TallyOf(ongoing).mRetried;
-  After(kMove, [this, target, aId] { Deliver(target, aId); });
+  ++state.mHops;
+  ++TallyFor(state).mRetried;
+  ScheduleAfter(kForwardDelay, [this, target, aId] { Deliver(target, aId); });
 }
 
-void Player::Refused(RequestId aId, RefusalReason aReason, Duration aRetryAfter)
+void Player::OnRefused(RequestId aId, RefusalReason aReason,
+                       Duration aRetryAfter)
 {
-  Ongoing ongoing = mOngoing.at(aId);
-  mOngoing.erase(aId);
-  ClassTally& tally = TallyOf(ongoing);
+  RequestState state = mRequests.at(aId);
+  mRequests.erase(aId);
+  ClassTally& tally = TallyFor(state);
   ++tally.mRefusedAttempts;
-  tally.mTold += aRetryAfter > Duration{} ? 1 : 0;
+  tally.mWithRetryTime += aRetryAfter > Duration{} ? 1 : 0;
   ++tally.mByReason.at(static_cast<std::size_t>(aReason));
-  tally.mRefusalWaits.push_back(mNow - ongoing.mSentAt);
-  const bool comesBack = mOptions.mReturning != Returning::Never &&
-                         ongoing.mReturns < mOptions.mMostReturns;
-  if (!comesBack) {
+  tally.mRefusalWaits.push_back(mNow - state.mSentAt);
+  const bool callerReturns = mOptions.mReturning != Returning::Never &&
+                             state.mReturns < mOptions.mMostReturns;
+  if (!callerReturns) {
     ++tally.mRefused;
-    --mUnderWay;
+    --mRequestsInProgress;
     return;
   }
-  ++ongoing.mReturns;
-  const bool asTold = mOptions.mReturning == Returning::AsTold;
-  After(asTold ? aRetryAfter : kImpatience,
-        [this, ongoing] { Attempt(ongoing); });
+  ++state.mReturns;
+  const bool usesRetryAfter = mOptions.mReturning == Returning::AsTold;
+  ScheduleAfter(usesRetryAfter ? aRetryAfter : kImmediateReturnDelay,
+                [this, state] { SendAttempt(state); });
 }
 
-bool Player::NeverRepeats(const Ongoing& aOngoing) const
+bool Player::IsNeverRepeated(const RequestState& aState) const
 {
   const auto& rules = mOptions.mService.mRules;
-  const std::size_t rule = aOngoing.mArrival.mClass;
-  return rule < rules.size() && rules[rule].mNeverRepeat;
+  const std::size_t index = aState.mArrival.mClass;
+  return index < rules.size() && rules[index].mNeverRepeat;
 }
 
-ClassTally& Player::TallyOf(const Ongoing& aOngoing)
+ClassTally& Player::TallyFor(const RequestState& aState)
 {
-  std::string name = mAdmission.mClasses[aOngoing.mArrival.mClass].mName;
-  if (!aOngoing.mArrival.mGroup.empty()) {
-    name += "/" + aOngoing.mArrival.mGroup;
+  std::string name = mAdmission.mClasses[aState.mArrival.mClass].mName;
+  if (!aState.mArrival.mGroup.empty()) {
+    name += "/" + aState.mArrival.mGroup;
   }
   return mTally.mClasses[name];
 }
--- a/src/replay/Player.h
+++ b/src/replay/Player.h
@@ -21,18 +21,18 @@
 
 namespace heatherplank::replay {
 
-/** What callers do when they are refused. */
+/** What a caller does after a refusal. */
 enum class Returning : std::uint8_t
 {
-  /** They give up. */
+  /** It gives up. */
   Never,
-  /** They come back when they were told to. */
+  /** It sends the request again after the refusal's retry time. */
   AsTold,
-  /** They come back after 50 ms, whatever they were told. */
+  /** It sends the request again after 50 ms and ignores the retry time. */
   AtOnce,
 };
 
-/** Whom a player drives. */
+/** The service, the policies and the callers that a Player simulates. */
 struct PlayerOptions
 {
   Service mService;
@@ -53,39 +53,41 @@
 /** How a backend server behaves. */
 struct Behaviour
 {
-  /** Its answers take this many times as long. */
+  /** Factor on the duration of each request. */
   double mSlowness = 1.0;
-  /** It answers with an error, after a millisecond. */
+  /** It answers each request with an error after 1 ms. */
   bool mFails = false;
-  /** It sheds all, after a millisecond. */
+  /** It sheds each request after 1 ms. */
   bool mSheds = false;
-  /** It can't be reached. */
+  /** Connections to it fail. */
   bool mDown = false;
 };
 
-/** A request as its caller sends it. */
+/** A simulated request. */
 struct Arrival
 {
   std::uint16_t mClass = 0;
-  /** Counted apart under "CLASS/GROUP" if there is one. */
+  /** If set, the request is counted under "CLASS/GROUP" instead of its class.
+   */
   std::string mGroup;
   std::uint64_t mCaller = 0;
-  /** The flow; callers may have several. */
+  /** The flow's key; a caller may have several flows. */
   std::uint64_t mFlow = 0;
   std::uint32_t mSize = 0;
-  /** What it takes on a host that is well. */
+  /** Its duration on a healthy host. */
   Duration mTakes{};
-  /** From its arrival; zero for the class's own. */
+  /** Relative to the time of each attempt; zero for the default of its class.
+   */
   Duration mDeadline{};
 };
 
-/** Plays events into the decision code of a few hosts on a paused clock.
+/** Plays events into the decision code of several hosts on a simulated clock.
  *
- * It is a driver as docs/DECISIONS.md describes one, with the least of a fleet
- * around it: flows go to one of four candidates by the balancing policy, with
- * figures exchanged every 100 ms; backend servers are a service time and a
- * Behaviour. Everything is seeded: the same options and events give the same
- * tally. Not thread safe.
+ * This is a driver as described in docs/DECISIONS.md, with a minimal simulated
+ * fleet: the balancing policy assigns each flow to one of four candidates,
+ * hosts exchange load figures every 100 ms, and a backend server consists of a
+ * service time and a Behaviour. All randomness is seeded: the same options and
+ * events give the same tally. Not thread safe.
  */
 class Player
 {
@@ -97,41 +99,42 @@
   Player(const Player&) = delete;
   Player& operator=(const Player&) = delete;
 
-  /** Has aWhat happen at a time since the beginning. Precondition: not in the
-   * past. */
-  void At(Duration aTime, std::function<void()> aWhat);
+  /** Schedules aCallback at aTime after the start of the replay. Precondition:
+   * aTime is not in the past. */
+  void At(Duration aTime, std::function<void()> aCallback);
 
-  /** A request comes now. */
+  /** Sends a request at the current time. */
   void Arrive(const Arrival& aArrival);
 
-  /** Changes what a host's backend server does from now on. */
+  /** Sets how a host's backend server behaves from now on. */
   void Behave(std::size_t aHost, const Behaviour& aBehaviour);
-  /** The host starts anew: its answers are five times slower and become
-   * normal within some thirty of them. */
+  /** Restarts the host: its requests take five times as long at first, and
+   * nearly the normal time after about 30 answers. */
   void ColdStart(std::size_t aHost);
   void Drain(std::size_t aHost);
   void SetSlots(std::size_t aHost, std::uint32_t aSlots);
-  /** What the host's health endpoint says. */
+  /** Sets what the host's health endpoint reports. */
   void Hint(std::size_t aHost, bool aHealthy);
-  /** While it is down, what may not be repeated can't be recorded. */
+  /** Sets whether the platform is available. While it is down, requests that
+   * must never be repeated can't be recorded and are refused. */
   void SetPlatform(bool aUp);
-  /** Forgets what was counted; requests under way still count when they end.
-   */
+  /** Clears the tally. Requests in progress are still counted when they end. */
   void ResetTally();
 
-  /** Plays all events up to a time since the beginning. */
+  /** Plays all events up to aTime after the start of the replay. */
   void RunUntil(Duration aTime);
-  /** Plays until nothing is under way. */
+  /** Plays until no request is in progress and no call of At() is pending, for
+   * 10 minutes of simulated time at most. */
   void RunToEnd();
 
   std::size_t Hosts() const { return mHosts.size(); }
-  /** Where the clock stands, since the beginning. */
+  /** The simulated time since the start of the replay. */
   Duration Now() const { return mNow - mStart; }
   const Tally& GetTally() const { return mTally; }
 
 private:
-  // A request from its sending until its caller knows the outcome.
-  struct Ongoing
+  // A request, from its arrival until its caller receives the outcome.
+  struct RequestState
   {
     Arrival mArrival;
     Time mSentAt;
@@ -148,24 +151,24 @@
     std::unique_ptr<AdmissionPolicy> mAdmission;
     std::unique_ptr<BalancingPolicy> mBalancing;
     Behaviour mBehaviour;
-    HostLoad mFigures;
-    bool mWasOut = false;
+    HostLoad mLastLoad;
+    bool mWasEjected = false;
     bool mIsDraining = false;
     bool mIsCold = false;
     std::uint32_t mAnswersSinceStart = 0;
     std::optional<Time> mWakeAt;
-    // Slot time since NoteImbalance last looked.
+    // Slot time used since the last call of RecordImbalance.
     Duration mBusy{};
 
-    // How many times as long as on a host that is well.
-    double Slowness() const;
+    // The factor on a request's duration, compared with a healthy host.
+    double SlownessFactor() const;
   };
 
   struct Event
   {
     Time mAt;
     std::uint64_t mSequence;
-    std::function<void()> mWhat;
+    std::function<void()> mCallback;
     bool operator<(const Event& aOther) const
     {
       return std::tie(aOther.mAt, aOther.mSequence) < std::tie(mAt, mSequence);
@@ -175,36 +178,37 @@
   explicit Player(const PlayerOptions& aOptions);
 
   std::optional<Error> AddHost(const std::string& aName);
-  std::optional<Error> AddGuards();
-  void After(Duration aWait, std::function<void()> aWhat);
+  std::optional<Error> AddHealthTracking();
+  void ScheduleAfter(Duration aDelay, std::function<void()> aCallback);
   void Step();
-  void Exchange();
-  void NoteImbalance();
-  void Attempt(Ongoing aOngoing);
+  void ExchangeLoads();
+  void RecordImbalance();
+  void SendAttempt(RequestState aState);
   std::size_t OwnerOf(std::uint64_t aFlow);
-  std::vector<Candidate> CandidatesOf(std::uint64_t aFlow) const;
-  Candidate CandidateFor(std::size_t aHost) const;
+  std::vector<Candidate> CandidatesFor(std::uint64_t aFlow) const;
+  Candidate MakeCandidate(std::size_t aHost) const;
   std::size_t IndexOf(HostId aHost) const;
   void Deliver(std::size_t aHost, RequestId aId);
-  void Carry(std::size_t aHost, const Actions& aActions);
-  void CarryOne(std::size_t aHost, const Action& aAction);
+  void ExecuteAll(std::size_t aHost, const Actions& aActions);
+  void Execute(std::size_t aHost, const Action& aAction);
   void Dispatch(std::size_t aHost, RequestId aId);
-  void End(std::size_t aHost, RequestId aId, RunResult aResult, Duration aTook);
+  void OnRunEnd(std::size_t aHost, RequestId aId, RunResult aResult,
+                Duration aDuration);
   void Conclude(std::size_t aHost, RequestId aId, RunResult aResult);
-  void TryElsewhere(std::size_t aHost, RequestId aId, AttemptEnd aEnd);
-  void Refused(RequestId aId, RefusalReason aReason, Duration aRetryAfter);
-  void WakeLater(std::size_t aHost);
-  bool NeverRepeats(const Ongoing& aOngoing) const;
-  ClassTally& TallyOf(const Ongoing& aOngoing);
-  Request RequestOf(RequestId aId, const Ongoing& aOngoing) const;
+  void RetryOnOtherHost(std::size_t aHost, RequestId aId, AttemptEnd aEnd);
+  void OnRefused(RequestId aId, RefusalReason aReason, Duration aRetryAfter);
+  void ScheduleWakeUp(std::size_t aHost);
+  bool IsNeverRepeated(const RequestState& aState) const;
+  ClassTally& TallyFor(const RequestState& aState);
+  Request MakeRequest(RequestId aId, const RequestState& aState) const;
 
   PlayerOptions mOptions;
   AdmissionOptions mAdmission;
   Time mStart;
   Time mNow;
-  std::uint64_t mLast = 0;
-  std::uint64_t mUnderWay = 0;
-  std::uint64_t mPlanned = 0;
+  std::uint64_t mLastSequence = 0;
+  std::uint64_t mRequestsInProgress = 0;
+  std::uint64_t mScheduledCount = 0;
   bool mPlatformUp = true;
   std::priority_queue<Event> mEvents;
   std::vector<std::unique_ptr<Host>> mHosts;
@@ -212,8 +216,8 @@
   std::unique_ptr<SlowStart> mSlowStart;
   RetryBudget mRetries;
   ReturnPlanner mPlatformReturns;
-  Time mExchangedAt;
-  std::map<RequestId, Ongoing> mOngoing;
+  Time mLoadsExchangedAt;
+  std::map<RequestId, RequestState> mRequests;
   std::map<std::uint64_t, std::size_t> mOwners;
   Tally mTally;
 };
--- a/src/replay/PlayerFleet.cpp
+++ b/src/replay/PlayerFleet.cpp
@@ -1,4 +1,5 @@
-// The fleet around the decisions: figures, owners, hosts that change, time.
+// Player's simulated fleet: load figures, flow owners, changes of hosts, and
+// the event loop.
 #include "src/replay/Player.h"
 
 #include <algorithm>
@@ -11,22 +12,22 @@
 
 using namespace std::chrono_literals;
 
-constexpr std::size_t kCandidates = 4;
-constexpr Duration kExchangeEvery = 100ms;
+constexpr std::size_t kCandidateCount = 4;
+constexpr Duration kExchangeInterval = 100ms;
 constexpr Duration kImbalanceWindow = 1s;
-constexpr double kColdSlowness = 4.0;
-constexpr double kWarmingAnswers = 10.0;
-constexpr Duration kLongestEnd = std::chrono::minutes(10);
+constexpr double kColdExtraSlowness = 4.0;
+constexpr double kWarmUpAnswers = 10.0;
+constexpr Duration kMaxRunToEnd = std::chrono::minutes(10);
 
 } // namespace
 
-double Player::Host::Slowness() const
+double Player::Host::SlownessFactor() const
 {
   if (!mIsCold) {
     return mBehaviour.mSlowness;
   }
-  const double warm = mAnswersSinceStart / kWarmingAnswers;
-  return mBehaviour.mSlowness * (1 + kColdSlowness * std::exp(-warm));
+  const double progress = mAnswersSinceStart / kWarmUpAnswers;
+  return mBehaviour.mSlowness * (1 + kColdExtraSlowness * std::exp(-progress));
 }
 
 void Player::Behave(std::size_t aHost, const Behaviour& aBehaviour)
@@ -50,14 +51,14 @@
   host.mIsDraining = true;
   Actions actions;
   host.mAdmission->OnDrain(mNow, actions);
-  Carry(aHost, actions);
+  ExecuteAll(aHost, actions);
 }
 
 void Player::SetSlots(std::size_t aHost, std::uint32_t aSlots)
 {
   Actions actions;
   mHosts.at(aHost)->mAdmission->OnSlots(aSlots, mNow, actions);
-  Carry(aHost, actions);
+  ExecuteAll(aHost, actions);
 }
 
 void Player::Hint(std::size_t aHost, bool aHealthy)
@@ -75,7 +76,7 @@
 void Player::ResetTally()
 {
   mTally = {};
-  mTally.mFrom = Now();
+  mTally.mCountingSince = Now();
   for (const auto& it : mAdmission.mClasses) {
     mTally.mClasses[it.mName];
   }
@@ -95,8 +96,8 @@
 
 void Player::RunToEnd()
 {
-  const Time latest = mNow + kLongestEnd;
-  while ((mUnderWay > 0 || mPlanned > 0) && mNow < latest) {
+  const Time latest = mNow + kMaxRunToEnd;
+  while ((mRequestsInProgress > 0 || mScheduledCount > 0) && mNow < latest) {
     Step();
   }
 }
@@ -106,10 +107,10 @@
   const Event event = mEvents.top();
   mEvents.pop();
   mNow = event.mAt;
-  event.mWhat();
+  event.mCallback();
 }
 
-void Player::WakeLater(std::size_t aHost)
+void Player::ScheduleWakeUp(std::size_t aHost)
 {
   Host& host = *mHosts[aHost];
   const auto at = host.mAdmission->NextWakeUp();
@@ -117,81 +118,81 @@
     return;
   }
   host.mWakeAt = std::max(*at, mNow);
-  After(*host.mWakeAt - mNow, [this, aHost] {
+  ScheduleAfter(*host.mWakeAt - mNow, [this, aHost] {
     mHosts[aHost]->mWakeAt.reset();
     Actions actions;
     mHosts[aHost]->mAdmission->OnTick(mNow, actions);
-    Carry(aHost, actions);
+    ExecuteAll(aHost, actions);
   });
 }
 
-// Agents tell each other their figures; what they saw also feeds the outlier
+// Sends each host's load figures to the other hosts and to the outlier
 // detector.
-void Player::Exchange()
+void Player::ExchangeLoads()
 {
-  mExchangedAt = mNow;
-  std::uint32_t out = 0;
+  mLoadsExchangedAt = mNow;
+  std::uint32_t ejected = 0;
   for (const auto& it : mHosts) {
-    it->mFigures = it->mAdmission->Load();
+    it->mLastLoad = it->mAdmission->Load();
     if (!mOutlier) {
       continue;
     }
-    mOutlier->OnFigures(it->mId, it->mFigures, mNow);
-    const bool isOut = mOutlier->IsOut(it->mId, mNow);
-    if (it->mWasOut && !isOut && mSlowStart) {
+    mOutlier->OnFigures(it->mId, it->mLastLoad, mNow);
+    const bool isEjected = mOutlier->IsOut(it->mId, mNow);
+    if (it->mWasEjected && !isEjected && mSlowStart) {
       mSlowStart->OnStart(it->mId, mNow);
     }
-    it->mWasOut = isOut;
-    out += isOut ? 1 : 0;
+    it->mWasEjected = isEjected;
+    ejected += isEjected ? 1 : 0;
   }
-  mTally.mMostOut = std::max(mTally.mMostOut, out);
+  mTally.mMaxEjected = std::max(mTally.mMaxEjected, ejected);
   for (std::size_t i = 0; i < mHosts.size(); ++i) {
     std::vector<Candidate> peers;
     for (std::size_t k = 0; k < mHosts.size(); ++k) {
       if (k != i) {
-        peers.push_back(CandidateFor(k));
+        peers.push_back(MakeCandidate(k));
       }
     }
     Actions actions;
     mHosts[i]->mAdmission->OnPeers(peers, mNow, actions);
-    Carry(i, actions);
+    ExecuteAll(i, actions);
   }
-  After(kExchangeEvery, [this] { Exchange(); });
+  ScheduleAfter(kExchangeInterval, [this] { ExchangeLoads(); });
 }
 
-void Player::NoteImbalance()
+void Player::RecordImbalance()
 {
-  Duration most{};
+  Duration busiest{};
   Duration sum{};
   for (const auto& it : mHosts) {
-    most = std::max(most, it->mBusy);
+    busiest = std::max(busiest, it->mBusy);
     sum += it->mBusy;
     it->mBusy = {};
   }
   if (sum > Duration{}) {
     const auto hosts = static_cast<double>(mHosts.size());
-    mTally.mImbalances.push_back(static_cast<double>(most.count()) * hosts /
+    mTally.mImbalances.push_back(static_cast<double>(busiest.count()) * hosts /
                                  static_cast<double>(sum.count()));
   }
-  After(kImbalanceWindow, [this] { NoteImbalance(); });
+  ScheduleAfter(kImbalanceWindow, [this] { RecordImbalance(); });
 }
 
-Candidate Player::CandidateFor(std::size_t aHost) const
+Candidate Player::MakeCandidate(std::size_t aHost) const
 {
   const Host& host = *mHosts[aHost];
   Candidate candidate;
   candidate.mHost = host.mId;
-  candidate.mLoad = host.mFigures;
-  candidate.mLoad.mAge = mNow - mExchangedAt;
-  const bool isOut =
+  candidate.mLoad = host.mLastLoad;
+  candidate.mLoad.mAge = mNow - mLoadsExchangedAt;
+  const bool isUnavailable =
     host.mIsDraining || (mOutlier && mOutlier->IsOut(host.mId, mNow));
-  const double full = mSlowStart ? mSlowStart->Weight(host.mId, mNow) : 1.0;
-  candidate.mWeight = isOut ? 0.0 : full;
+  const double weight = mSlowStart ? mSlowStart->Weight(host.mId, mNow) : 1.0;
+  candidate.mWeight = isUnavailable ? 0.0 : weight;
   return candidate;
 }
 
-// The first hosts by rendezvous hash of the flow, best first.
-std::vector<Candidate> Player::CandidatesOf(std::uint64_t aFlow) const
+// The first four hosts by rendezvous hash of the flow, best first.
+std::vector<Candidate> Player::CandidatesFor(std::uint64_t aFlow) const
 {
   std::vector<std::pair<std::uint64_t, std::size_t>> ranks;
   for (std::size_t i = 0; i < mHosts.size(); ++i) {
@@ -199,25 +200,25 @@
   }
   std::ranges::sort(ranks, std::greater<>());
   std::vector<Candidate> candidates;
-  for (std::size_t i = 0; i < std::min(kCandidates, ranks.size()); ++i) {
-    candidates.push_back(CandidateFor(ranks[i].second));
+  for (std::size_t i = 0; i < std::min(kCandidateCount, ranks.size()); ++i) {
+    candidates.push_back(MakeCandidate(ranks[i].second));
   }
   return candidates;
 }
 
-// A flow keeps its owner until that drains.
+// The flow's owner; a new one is picked only when the current one drains.
 std::size_t Player::OwnerOf(std::uint64_t aFlow)
 {
   auto it = mOwners.find(aFlow);
   if (it != mOwners.end() && !mHosts[it->second]->mIsDraining) {
     return it->second;
   }
-  const auto candidates = CandidatesOf(aFlow);
-  auto isLive = [](const Candidate& aIt) { return aIt.mWeight > 0; };
-  const auto arbiter = std::ranges::find_if(candidates, isLive);
-  const HostId asked =
+  const auto candidates = CandidatesFor(aFlow);
+  auto isEligible = [](const Candidate& aIt) { return aIt.mWeight > 0; };
+  const auto arbiter = std::ranges::find_if(candidates, isEligible);
+  const HostId arbiterId =
     (arbiter == candidates.end() ? candidates.front() : *arbiter).mHost;
-  auto& policy = *mHosts[IndexOf(asked)]->mBalancing;
+  auto& policy = *mHosts[IndexOf(arbiterId)]->mBalancing;
   const auto pick = policy.Pick(aFlow, candidates, mNow);
   const std::size_t owner = IndexOf(candidates[pick].mHost);
   mOwners[aFlow] = owner;
@@ -226,8 +227,8 @@
 
 std::size_t Player::IndexOf(HostId aHost) const
 {
-  auto isIt = [aHost](const auto& aIt) { return aIt->mId == aHost; };
-  const auto it = std::ranges::find_if(mHosts, isIt);
+  auto hasId = [aHost](const auto& aIt) { return aIt->mId == aHost; };
+  const auto it = std::ranges::find_if(mHosts, hasId);
   return static_cast<std::size_t>(it - mHosts.begin());
 }
 
--- a/src/replay/Replay.cpp
+++ b/src/replay/Replay.cpp
@@ -10,38 +10,38 @@
 
 namespace {
 
-constexpr int kAllCame = 0;
-constexpr int kOneFailed = 1;
-constexpr int kUnreadable = 2;
+constexpr int kExitAllMet = 0;
+constexpr int kExitUnmet = 1;
+constexpr int kExitUnreadable = 2;
 
 int ReplayOne(const std::string& aPath, std::ostream& aOut)
 {
   auto text = ReadFile(aPath);
   if (!text) {
     aOut << text.error().Describe() << "\n";
-    return kUnreadable;
+    return kExitUnreadable;
   }
   auto result = replay::PlayTrace(aPath, *text, aOut);
   if (!result) {
     aOut << result.error().Describe() << "\n";
-    return kUnreadable;
+    return kExitUnreadable;
   }
   const bool failed = result->mFailed > 0;
   aOut << aPath << ": " << (failed ? "FAILED, " : "ok, ")
        << result->mExpectations - result->mFailed << " of "
-       << result->mExpectations << " outcomes\n";
-  return failed ? kOneFailed : kAllCame;
+       << result->mExpectations << " expectations met\n";
+  return failed ? kExitUnmet : kExitAllMet;
 }
 
 } // namespace
 
 int RunReplay(std::span<const std::string> aTraces, std::ostream& aOut)
 {
-  int worst = kAllCame;
+  int status = kExitAllMet;
   for (const auto& it : aTraces) {
-    worst = std::max(worst, ReplayOne(it, aOut));
+    status = std::max(status, ReplayOne(it, aOut));
   }
-  return worst;
+  return status;
 }
 
 } // namespace heatherplank
--- a/src/replay/Replay.h
+++ b/src/replay/Replay.h
@@ -6,10 +6,11 @@
 
 namespace heatherplank {
 
-/** Plays recorded traces into the decision code on a paused clock and writes a
- * line on each trace, and on each outcome that did not come, to aOut. Gives the
- * exit status: 0 if all outcomes came, 1 if one did not, 2 if a trace can't be
- * read. Precondition: at least one path. Thread safe.
+/** Plays recorded traces into the decision code on a simulated clock and writes
+ * a line to aOut for each trace and for each expectation that is not met.
+ * Returns the exit status: 0 if all expectations are met, 1 if one is not, 2 if
+ * a trace can't be read or played. Precondition: at least one path. Thread
+ * safe.
  */
 int RunReplay(std::span<const std::string> aTraces, std::ostream& aOut);
 
--- a/src/replay/Tally.cpp
+++ b/src/replay/Tally.cpp
@@ -10,7 +10,7 @@
 
 using Milliseconds = std::chrono::duration<double, std::milli>;
 
-double Share(std::uint64_t aPart, std::uint64_t aWhole)
+double Ratio(std::uint64_t aPart, std::uint64_t aWhole)
 {
   return aWhole == 0 ? 1.0
                      : static_cast<double>(aPart) / static_cast<double>(aWhole);
@@ -28,8 +28,9 @@
   return Milliseconds(sorted[static_cast<std::size_t>(at)]).count();
 }
 
-// Requests that got no word of any kind.
-double Lost(const ClassTally& aTally)
+// The number of requests without an outcome. Negative if more requests ended
+// than arrived since the last reset.
+double LostRequests(const ClassTally& aTally)
 {
   const auto known =
     aTally.mAnswered + aTally.mLate + aTally.mFailed + aTally.mRefused;
@@ -38,30 +39,32 @@
 
 using ClassFigure = std::function<double(const ClassTally&)>;
 
-const std::map<std::string, ClassFigure, std::less<>>& ClaskFigures()
+const std::map<std::string, ClassFigure, std::less<>>& ClassFigures()
 {
   static const std::map<std::string, ClassFigure, std::less<>> kFigures{
     { "offered", [](const auto& aIt) { return double(aIt.mOffered); } },
     { "answered", [](const auto& aIt) { return double(aIt.mAnswered); } },
     { "answered_share",
-      [](const auto& aIt) { return Share(aIt.mAnswered, aIt.mOffered); } },
+      [](const auto& aIt) { return Ratio(aIt.mAnswered, aIt.mOffered); } },
     { "late", [](const auto& aIt) { return double(aIt.mLate); } },
     { "late_share",
-      [](const auto& aIt) { return Share(aIt.mLate, aIt.mOffered); } },
+      [](const auto& aIt) { return Ratio(aIt.mLate, aIt.mOffered); } },
     { "failed", [](const auto& aIt) { return double(aIt.mFailed); } },
     { "failed_share",
-      [](const auto& aIt) { return Share(aIt.mFailed, aIt.mOffered); } },
+      [](const auto& aIt) { return Ratio(aIt.mFailed, aIt.mOffered); } },
     { "refused", [](const auto& aIt) { return double(aIt.mRefused); } },
     { "refused_attempts",
       [](const auto& aIt) { return double(aIt.mRefusedAttempts); } },
     { "told_share",
-      [](const auto& aIt) { return Share(aIt.mTold, aIt.mRefusedAttempts); } },
-    { "lost", [](const auto& aIt) { return Lost(aIt); } },
+      [](const auto& aIt) {
+        return Ratio(aIt.mWithRetryTime, aIt.mRefusedAttempts);
+      } },
+    { "lost", [](const auto& aIt) { return LostRequests(aIt); } },
     { "run_twice", [](const auto& aIt) { return double(aIt.mRunTwice); } },
-    { "handed_on", [](const auto& aIt) { return double(aIt.mHandedOn); } },
+    { "handed_on", [](const auto& aIt) { return double(aIt.mForwarded); } },
     { "retried", [](const auto& aIt) { return double(aIt.mRetried); } },
     { "attempts_each",
-      [](const auto& aIt) { return Share(aIt.mAttempts, aIt.mOffered); } },
+      [](const auto& aIt) { return Ratio(aIt.mAttempts, aIt.mOffered); } },
     { "p50_ms", [](const auto& aIt) { return Quantile(aIt.mLatencies, 0.5); } },
     { "p99_ms",
       [](const auto& aIt) { return Quantile(aIt.mLatencies, 0.99); } },
@@ -71,8 +74,8 @@
   return kFigures;
 }
 
-std::optional<double> RefusedFor(std::string_view aReason,
-                                 const ClassTally& aTally)
+std::optional<double> RefusedForReason(std::string_view aReason,
+                                       const ClassTally& aTally)
 {
   for (std::size_t i = 0; i < kRefusalReasons; ++i) {
     if (ToString(static_cast<RefusalReason>(i)) == aReason) {
@@ -82,7 +85,7 @@
   return std::nullopt;
 }
 
-// The mean over the seconds; 1 is even.
+// The mean imbalance over all seconds with work; 1 means evenly spread load.
 double Imbalance(const Tally& aTally)
 {
   if (aTally.mImbalances.empty()) {
@@ -93,7 +96,7 @@
   return sum / static_cast<double>(all.size());
 }
 
-Duration AnsweredBy(const ClassTally& aClass, Duration aTime)
+Duration AnsweredWorkBy(const ClassTally& aClass, Duration aTime)
 {
   Duration sum{};
   for (const auto& [at, work] : aClass.mAnswers) {
@@ -102,16 +105,19 @@
   return sum;
 }
 
-// Answered work as a share of what the slots allowed: of all that was wanted;
-// or, if that is more than the slots can do while requests arrive, of what
-// they can do, and then by what they did until the last one arrived.
-double OfSlots(const Tally& aTally, const ClassTally& aClass)
+// Answered work as a share of the work that the slots allowed. If the wanted
+// work fits into the slot time until the last arrival: all answered work over
+// the wanted work. Otherwise: the work answered until the last arrival over
+// that slot time.
+double ShareOfSlots(const Tally& aTally, const ClassTally& aClass)
 {
-  const Duration slots = (aTally.mLastArrival - aTally.mFrom) * aTally.mSlots;
-  const bool isTooMuch = aClass.mWantedWork > slots;
-  const Duration allowed = isTooMuch ? slots : aClass.mWantedWork;
-  const Duration done =
-    isTooMuch ? AnsweredBy(aClass, aTally.mLastArrival) : aClass.mAnsweredWork;
+  const Duration slots =
+    (aTally.mLastArrival - aTally.mCountingSince) * aTally.mSlots;
+  const bool isOverloaded = aClass.mWantedWork > slots;
+  const Duration allowed = isOverloaded ? slots : aClass.mWantedWork;
+  const Duration done = isOverloaded
+                          ? AnsweredWorkBy(aClass, aTally.mLastArrival)
+                          : aClass.mAnsweredWork;
   if (allowed <= Duration{}) {
     return 1.0;
   }
@@ -127,9 +133,9 @@
   aSum.mLate += aIt.mLate;
   aSum.mFailed += aIt.mFailed;
   aSum.mRefused += aIt.mRefused;
-  aSum.mTold += aIt.mTold;
+  aSum.mWithRetryTime += aIt.mWithRetryTime;
   aSum.mRefusedAttempts += aIt.mRefusedAttempts;
-  aSum.mHandedOn += aIt.mHandedOn;
+  aSum.mForwarded += aIt.mForwarded;
   aSum.mRetried += aIt.mRetried;
   aSum.mRunTwice += aIt.mRunTwice;
   for (std::size_t i = 0; i < kRefusalReasons; ++i) {
@@ -164,7 +170,7 @@
     return Imbalance(*this);
   }
   if (aName == "most_out") {
-    return mMostOut;
+    return mMaxEjected;
   }
   if (aName == "host_answered") {
     auto it = mHosts.find(aHost);
@@ -177,21 +183,21 @@
   }
   const ClassTally tally = aClass.empty() ? Sum() : found->second;
   if (aName == "of_slots") {
-    return OfSlots(*this, tally);
+    return ShareOfSlots(*this, tally);
   }
   constexpr std::string_view kReason = "refused_for_";
   if (aName.starts_with(kReason)) {
-    return RefusedFor(aName.substr(kReason.size()), tally);
+    return RefusedForReason(aName.substr(kReason.size()), tally);
   }
-  auto it = ClaskFigures().find(aName);
-  return it == ClaskFigures().end() ? std::nullopt
+  auto it = ClassFigures().find(aName);
+  return it == ClassFigures().end() ? std::nullopt
                                     : std::optional(it->second(tally));
 }
 
 std::string FigureNames()
 {
   std::string names;
-  for (const auto& [name, figure] : ClaskFigures()) {
+  for (const auto& [name, figure] : ClassFigures()) {
     names += name + ", ";
   }
   return names + "of_slots, refused_for_REASON, imbalance, most_out, "
--- a/src/replay/Tally.h
+++ b/src/replay/Tally.h
@@ -14,68 +14,73 @@
 
 namespace heatherplank::replay {
 
-/** What callers of one class got. */
+/** The outcomes of the requests of one class. */
 struct ClassTally
 {
-  /** Requests, each counted once however often its caller came back. */
+  /** Requests; one that its caller sends again counts once. */
   std::uint64_t mOffered = 0;
-  /** Times that a request was sent, returns included. */
+  /** Attempts by callers, including those after a refusal. */
   std::uint64_t mAttempts = 0;
   std::uint64_t mAnswered = 0;
-  /** Run, but not answered by the deadline. */
+  /** Not answered by the deadline, although dispatched. */
   std::uint64_t mLate = 0;
-  /** Answered with an error of the backend server. */
+  /** Answered with an error by the backend server. */
   std::uint64_t mFailed = 0;
   /** Requests whose last attempt was refused. */
   std::uint64_t mRefused = 0;
-  /** Refused attempts that were told when to come back. */
-  std::uint64_t mTold = 0;
+  /** Refusals that carried a retry time. */
+  std::uint64_t mWithRetryTime = 0;
   std::uint64_t mRefusedAttempts = 0;
-  std::uint64_t mHandedOn = 0;
+  std::uint64_t mForwarded = 0;
   std::uint64_t mRetried = 0;
-  /** Ran a second time after a first run with an unknown end. */
+  /** Runs of a request that may have run before. */
   std::uint64_t mRunTwice = 0;
   std::array<std::uint64_t, kRefusalReasons> mByReason{};
-  /** Of answers in time, from the attempt that got it. */
+  /** Time from the last attempt to the answer, for each answer in time. */
   std::vector<Duration> mLatencies;
-  /** Of refusals: how long the caller waited for it. */
+  /** Time from the attempt to its refusal, for each refused attempt. */
   std::vector<Duration> mRefusalWaits;
-  /** Slot time that was wanted, and that went into answers in time. */
+  /** Slot time that the offered requests need on healthy hosts. */
   Duration mWantedWork{};
+  /** The part of mWantedWork that was answered in time. */
   Duration mAnsweredWork{};
-  /** When each answer in time came, and the slot time in it. */
+  /** For each answer in time: its time since the start, and its slot time. */
   std::vector<std::pair<Duration, Duration>> mAnswers;
 };
 
-/** What one host did. */
+/** The work of one host. */
 struct HostTally
 {
   std::uint64_t mAnswered = 0;
+  /** Slot time used, whatever the outcome. */
   Duration mBusy{};
 };
 
-/** The outcome of a replay, since it began or was last reset. */
+/** The counts of a replay since its start or the last reset. */
 struct Tally
 {
   std::map<std::string, ClassTally, std::less<>> mClasses;
   std::map<std::string, HostTally, std::less<>> mHosts;
-  Duration mFrom{};
+  Duration mCountingSince{};
   Duration mLastArrival{};
   std::uint32_t mSlots = 0;
-  std::uint32_t mMostOut = 0;
-  /** Of each second with work, the busiest host's slot time over the mean. */
+  /** The largest number of hosts ejected at the same time. */
+  std::uint32_t mMaxEjected = 0;
+  /** For each second with work: the busiest host's slot time over the mean. */
   std::vector<double> mImbalances;
 
-  /** All classes in one. */
+  /** The sum over all classes. */
   ClassTally Sum() const;
 
-  /** A figure by name, of a class ("" for all) or, where it is one of a host,
-   * of a host; none if the figure or its subject is unknown. */
+  /** The figure called aName, for a class ("" for all classes) or, if it is a
+   * figure of a host, for a host. Empty if the figure, class or host is
+   * unknown.
+   */
   std::optional<double> Figure(std::string_view aName, std::string_view aClass,
                                std::string_view aHost) const;
 };
 
-/** The names that Tally::Figure knows, for messages. */
+/** The names that Tally::Figure accepts, separated by commas, for messages. */
 std::string FigureNames();
 
 } // namespace heatherplank::replay
--- a/src/replay/Trace.cpp
+++ b/src/replay/Trace.cpp
@@ -6,8 +6,8 @@
 
 namespace {
 
-// One line of a trace as its messages name it.
-std::string Place(std::string_view aName, int aLine)
+// A line's position in messages, as FILE:LINE.
+std::string Location(std::string_view aName, int aLine)
 {
   return std::string(aName) + ":" + std::to_string(aLine);
 }
@@ -33,7 +33,7 @@
     if (IsBlank(text)) {
       continue;
     }
-    if (auto error = reader.Read(Place(aName, line), text)) {
+    if (auto error = reader.Read(Location(aName, line), text)) {
       return tl::unexpected(*error);
     }
   }
--- a/src/replay/Trace.h
+++ b/src/replay/Trace.h
@@ -7,19 +7,20 @@
 
 namespace heatherplank::replay {
 
-/** How a trace went. */
+/** The number of expectations in a trace, and of those that were not met. */
 struct TraceResult
 {
   int mExpectations = 0;
   int mFailed = 0;
 };
 
-/** Plays a trace: JSON objects, one a line, as docs/DECISIONS.md lists them.
- * Writes a line to aOut for each outcome that did not come: the trace, the
- * line's number, what was expected and what came. Gives InvalidInput for a
- * trace that can't be played; the message names trace and line.
+/** Plays a trace: one JSON object per line, as listed in docs/DECISIONS.md.
+ * Writes a line to aOut for each expectation that is not met, with the trace's
+ * name, the line number, the expected and the actual figure. Returns
+ * InvalidInput for a trace that can't be played; the message names trace and
+ * line.
  *
- * Pure but for aOut; thread safe.
+ * No I/O except to aOut and no clock access; thread safe.
  */
 Result<TraceResult> PlayTrace(std::string_view aName, std::string_view aText,
                               std::ostream& aOut);
--- a/src/replay/TraceReader.cpp
+++ b/src/replay/TraceReader.cpp
@@ -12,18 +12,19 @@
 
 using namespace std::chrono_literals;
 
-constexpr std::array<std::string_view, 7> kEvents{
+constexpr std::array<std::string_view, 7> kEventNames{
   "fleet", "requests", "host", "platform", "reset", "end", "expect"
 };
-constexpr std::array<std::string_view, 4> kImportances{ "low", "normal", "high",
-                                                        "critical" };
-constexpr std::array<std::string_view, 3> kReturns{ "never", "as-told",
-                                                    "at-once" };
-constexpr std::array<std::string_view, 2> kOrders{ "importance", "share" };
-constexpr std::array<std::string_view, 2> kTakes{ "fixed", "exponential" };
-constexpr std::array<std::string_view, 2> kArrivals{ "even", "poisson" };
-constexpr double kMostMs = 3'600'000;
-constexpr std::int64_t kMostRequests = 1'000'000;
+constexpr std::array<std::string_view, 4> kImportanceNames{ "low", "normal",
+                                                            "high",
+                                                            "critical" };
+constexpr std::array<std::string_view, 3> kReturningNames{ "never", "as-told",
+                                                           "at-once" };
+constexpr std::array<std::string_view, 2> kOrderNames{ "importance", "share" };
+constexpr std::array<std::string_view, 2> kTakesNames{ "fixed", "exponential" };
+constexpr std::array<std::string_view, 2> kArrivalsNames{ "even", "poisson" };
+constexpr double kMaxMs = 3'600'000;
+constexpr std::int64_t kMaxRequests = 1'000'000;
 
 Duration FromMs(double aMs)
 {
@@ -39,10 +40,10 @@
   return static_cast<std::size_t>(it - aNames.begin());
 }
 
-// A number with the mean aMean: that, or drawn from the exponential law.
-double Draw(double aMean, bool aExponential, std::mt19937_64& aRng)
+// Returns aMean, or a sample of the exponential distribution with that mean.
+double Draw(double aMean, bool aIsExponential, std::mt19937_64& aRng)
 {
-  if (!aExponential || aMean <= 0) {
+  if (!aIsExponential || aMean <= 0) {
     return aMean;
   }
   return std::exponential_distribution<double>(1.0 / aMean)(aRng);
@@ -54,7 +55,7 @@
   bool AdmissionGuards::*mGuard;
 };
 
-constexpr std::array<GuardName, 7> kGuards{ {
+constexpr std::array<GuardName, 7> kGuardNames{ {
   { "early_refusal", &AdmissionGuards::mEarlyRefusal },
   { "reservation", &AdmissionGuards::mReservation },
   { "fairness", &AdmissionGuards::mFairness },
@@ -64,11 +65,11 @@
   { "hand_on_hysteresis", &AdmissionGuards::mHandOnHysteresis },
 } };
 
-void TurnOff(AdmissionGuards& aGuards, JsonReader& aReader)
+void DisableGuards(AdmissionGuards& aGuards, JsonReader& aReader)
 {
   for (const auto& name : aReader.Strings("guards_off")) {
-    const auto it = std::ranges::find(kGuards, name, &GuardName::mName);
-    if (it == kGuards.end()) {
+    const auto it = std::ranges::find(kGuardNames, name, &GuardName::mName);
+    if (it == kGuardNames.end()) {
       aReader.AddFault("guards_off", "no guard is named \"" + name + "\"",
                        "see AdmissionGuards in docs/DECISIONS.md");
       continue;
@@ -84,11 +85,11 @@
 {
 }
 
-std::optional<Error> TraceReader::Read(const std::string& aPlace,
+std::optional<Error> TraceReader::Read(const std::string& aLocation,
                                        std::string_view aLine)
 {
-  mPlace = aPlace;
-  JsonFaults faults(aPlace);
+  mLocation = aLocation;
+  JsonFaults faults(aLocation);
   mFaults = &faults;
   ReadJsonDocument(aLine, faults, [this](JsonReader& aIt) { ReadEvent(aIt); });
   if (!faults.IsEmpty()) {
@@ -101,7 +102,7 @@
 {
   if (mResult.mExpectations == 0) {
     return Fail(ErrorKind::InvalidInput,
-                std::string(aName) + ": no outcome is stated",
+                std::string(aName) + ": the trace contains no expectation",
                 "add lines with \"event\": \"expect\"");
   }
   return mResult;
@@ -109,9 +110,9 @@
 
 void TraceReader::ReadEvent(JsonReader& aReader)
 {
-  const std::string event = aReader.Choice("event", kEvents, "");
+  const std::string event = aReader.Choice("event", kEventNames, "");
   const auto last = static_cast<double>(mAt / 1ms);
-  const double at = aReader.Number("at_ms", last, kMostMs, last);
+  const double at = aReader.Number("at_ms", last, kMaxMs, last);
   if (!mFaults->IsEmpty()) {
     return;
   }
@@ -120,7 +121,7 @@
     return;
   }
   if (!mPlayer) {
-    aReader.AddFault("event", "\"" + event + "\" before the fleet is known",
+    aReader.AddFault("event", "\"" + event + "\" precedes the event \"fleet\"",
                      "begin the trace with an event \"fleet\"");
     return;
   }
@@ -161,13 +162,13 @@
   options.mAdmission = aReader.String("admission", "reservation");
   options.mBalancing = aReader.String("balancing", "two-choices");
   options.mOrder = static_cast<ClassOrder>(
-    IndexIn(kOrders, aReader.Choice("order", kOrders, "importance")));
-  TurnOff(options.mGuards, aReader);
+    IndexIn(kOrderNames, aReader.Choice("order", kOrderNames, "importance")));
+  DisableGuards(options.mGuards, aReader);
   options.mOutlier = aReader.String("outlier", "compared");
   options.mSlowStart = aReader.String("slow_start", "time");
   options.mRetryBudget = aReader.Bool("retry_budget", true);
-  options.mReturning = static_cast<Returning>(
-    IndexIn(kReturns, aReader.Choice("returning", kReturns, "never")));
+  options.mReturning = static_cast<Returning>(IndexIn(
+    kReturningNames, aReader.Choice("returning", kReturningNames, "never")));
   options.mMostReturns =
     static_cast<std::uint32_t>(aReader.Integer("most_returns", 0, 1000, 0));
   options.mSeed =
@@ -186,17 +187,18 @@
 {
   Rule rule;
   rule.mName = aReader.RequiredString("name");
-  rule.mImportance = static_cast<Importance>(IndexIn(
-    kImportances, aReader.Choice("importance", kImportances, "normal")));
+  rule.mImportance = static_cast<Importance>(
+    IndexIn(kImportanceNames,
+            aReader.Choice("importance", kImportanceNames, "normal")));
   rule.mNeverRepeat = aReader.Bool("never_repeat", false);
   rule.mMayWait = aReader.Bool("may_wait", false);
-  rule.mDeadline = FromMs(aReader.Number("deadline_ms", 1, kMostMs, 2000));
+  rule.mDeadline = FromMs(aReader.Number("deadline_ms", 1, kMaxMs, 2000));
   rule.mQueueLimit =
     static_cast<std::uint32_t>(aReader.Integer("queue_limit", 1, 100000, 64));
   aService.mRules.push_back(rule);
 }
 
-std::optional<std::uint16_t> TraceReader::ClassNamed(JsonReader& aReader)
+std::optional<std::uint16_t> TraceReader::ReadClassIndex(JsonReader& aReader)
 {
   const std::string name = aReader.RequiredString("class");
   const auto& rules = mService.mRules;
@@ -211,19 +213,20 @@
 
 void TraceReader::ReadRequests(JsonReader& aReader)
 {
-  const auto index = ClassNamed(aReader);
-  const auto count = aReader.RequiredInteger("count", 1, kMostRequests);
-  const double every = aReader.Number("every_ms", 0, kMostMs, 0);
+  const auto index = ReadClassIndex(aReader);
+  const auto count = aReader.RequiredInteger("count", 1, kMaxRequests);
+  const double meanInterval = aReader.Number("every_ms", 0, kMaxMs, 0);
   const bool isPoisson =
-    aReader.Choice("arrivals", kArrivals, "even") == kArrivals[1];
-  const double takes = aReader.Number("takes_ms", 0.001, kMostMs, 20);
-  const bool isSpread = aReader.Choice("takes", kTakes, "fixed") == kTakes[1];
+    aReader.Choice("arrivals", kArrivalsNames, "even") == kArrivalsNames[1];
+  const double meanDuration = aReader.Number("takes_ms", 0.001, kMaxMs, 20);
+  const bool isExponential =
+    aReader.Choice("takes", kTakesNames, "fixed") == kTakesNames[1];
   const std::string caller = aReader.String("caller", "anyone");
-  const auto callers = aReader.Integer("callers", 1, kMostRequests,
+  const auto callers = aReader.Integer("callers", 1, kMaxRequests,
                                        aReader.Has("caller") ? 1 : count);
   const std::string group = aReader.String("group", "");
   Arrival arrival;
-  arrival.mDeadline = FromMs(aReader.Number("deadline_ms", 0, kMostMs, 0));
+  arrival.mDeadline = FromMs(aReader.Number("deadline_ms", 0, kMaxMs, 0));
   arrival.mSize =
     static_cast<std::uint32_t>(aReader.Integer("size", 0, 1 << 30, 0));
   if (!mFaults->IsEmpty()) {
@@ -231,17 +234,17 @@
   }
   arrival.mClass = *index;
   arrival.mGroup = group;
-  const std::uint64_t first = HashBytes(caller, ++mFlows);
+  const std::uint64_t first = HashBytes(caller, ++mRequestEvents);
   const bool isNamed = aReader.Has("caller");
   double at = 0;
   for (std::int64_t i = 0; i < count; ++i) {
     const auto number = static_cast<std::uint64_t>(i % callers);
     arrival.mCaller = MixHash(isNamed ? HashBytes(caller) : first, number);
     arrival.mFlow = arrival.mCaller;
-    arrival.mTakes = FromMs(Draw(takes, isSpread, mRng));
+    arrival.mTakes = FromMs(Draw(meanDuration, isExponential, mRng));
     Player* player = mPlayer.get();
     player->At(mAt + FromMs(at), [=] { player->Arrive(arrival); });
-    at += Draw(every, isPoisson, mRng);
+    at += Draw(meanInterval, isPoisson, mRng);
   }
 }
 
@@ -277,46 +280,48 @@
 
 void TraceReader::ReadExpect(JsonReader& aReader)
 {
-  constexpr double kAny = std::numeric_limits<double>::max();
+  constexpr double kUnbounded = std::numeric_limits<double>::max();
   const std::string figure = aReader.RequiredString("figure");
-  const std::string of = aReader.String("class", "");
+  const std::string className = aReader.String("class", "");
   const std::string host = aReader.String("host", "");
-  const double least = aReader.Number("at_least", -kAny, kAny, -kAny);
-  const double most = aReader.Number("at_most", -kAny, kAny, kAny);
+  const double min =
+    aReader.Number("at_least", -kUnbounded, kUnbounded, -kUnbounded);
+  const double max =
+    aReader.Number("at_most", -kUnbounded, kUnbounded, kUnbounded);
   if (!aReader.Has("at_least") && !aReader.Has("at_most")) {
-    aReader.AddFault("figure", "an outcome without a bound",
+    aReader.AddFault("figure", "the expectation has no bound",
                      "add at_least, at_most or both");
   }
-  const auto got = mPlayer->GetTally().Figure(figure, of, host);
-  if (!got) {
-    aReader.AddFault("figure", "no \"" + figure + "\" of what is named",
-                     "use a class or host of the fleet, and one of " +
-                       FigureNames());
+  const auto actual = mPlayer->GetTally().Figure(figure, className, host);
+  if (!actual) {
+    aReader.AddFault(
+      "figure", "no figure \"" + figure + "\" for the named class or host",
+      "use a class or host of the fleet, and one of " + FigureNames());
   }
   if (mFaults->IsEmpty()) {
-    const std::string subject = of.empty() ? host : of;
-    const std::string space = subject.empty() ? "" : " of " + subject;
-    Check(*got, least, most, figure + space);
+    const std::string subject = className.empty() ? host : className;
+    const std::string suffix = subject.empty() ? "" : " of " + subject;
+    Check(*actual, min, max, figure + suffix);
   }
 }
 
-void TraceReader::Check(double aGot, double aLeast, double aMost,
-                        const std::string& aWhat)
+void TraceReader::Check(double aActual, double aMin, double aMax,
+                        const std::string& aFigure)
 {
   ++mResult.mExpectations;
-  if (aGot >= aLeast && aGot <= aMost) {
+  if (aActual >= aMin && aActual <= aMax) {
     return;
   }
   ++mResult.mFailed;
-  constexpr double kAny = std::numeric_limits<double>::max();
-  *mOut << mPlace << ": expected " << aWhat;
-  if (aLeast > -kAny) {
-    *mOut << " at least " << aLeast;
+  constexpr double kUnbounded = std::numeric_limits<double>::max();
+  *mOut << mLocation << ": expected " << aFigure;
+  if (aMin > -kUnbounded) {
+    *mOut << " at least " << aMin;
   }
-  if (aMost < kAny) {
-    *mOut << " at most " << aMost;
+  if (aMax < kUnbounded) {
+    *mOut << " at most " << aMax;
   }
-  *mOut << ", got " << aGot << "\n";
+  *mOut << ", got " << aActual << "\n";
 }
 
 } // namespace heatherplank::replay
--- a/src/replay/TraceReader.h
+++ b/src/replay/TraceReader.h
@@ -14,20 +14,22 @@
 
 namespace heatherplank::replay {
 
-/** Reads a trace line by line and has a player play it. Not thread safe. */
+/** Reads a trace line by line and plays each line with a Player. Not thread
+ * safe. */
 class TraceReader
 {
 public:
-  /** Outcomes that did not come are written to aOut, which must outlive this.
-   */
+  /** Expectations that are not met are written to aOut, which must outlive this
+   * object. */
   explicit TraceReader(std::ostream& aOut);
 
-  /** Plays one line; aPlace ("FILE:LINE") names it in messages. An error says
-   * what was found in it and the remedy, and ends the trace. */
-  std::optional<Error> Read(const std::string& aPlace, std::string_view aLine);
+  /** Plays one line; aLocation ("FILE:LINE") is its position in messages. An
+   * error contains the fault and its remedy; no line may be read after it. */
+  std::optional<Error> Read(const std::string& aLocation,
+                            std::string_view aLine);
 
-  /** The result, after the last line; InvalidInput if the trace states no
-   * outcome at all. */
+  /** The result, after the last line; InvalidInput if the trace contains no
+   * expectation. */
   Result<TraceResult> Finish(std::string_view aName) const;
 
 private:
@@ -37,16 +39,17 @@
   void ReadRequests(JsonReader& aReader);
   void ReadHost(JsonReader& aReader);
   void ReadExpect(JsonReader& aReader);
-  std::optional<std::uint16_t> ClassNamed(JsonReader& aReader);
-  void Check(double aGot, double aLeast, double aMost,
-             const std::string& aWhat);
+  std::optional<std::uint16_t> ReadClassIndex(JsonReader& aReader);
+  void Check(double aActual, double aMin, double aMax,
+             const std::string& aFigure);
 
   std::ostream* mOut;
-  std::string mPlace;
+  std::string mLocation;
   Service mService;
   std::unique_ptr<Player> mPlayer;
   std::mt19937_64 mRng;
-  std::uint64_t mFlows = 0;
+  std::uint64_t mRequestEvents = 0;
+  // The time of the last event, since the start of the replay.
   Duration mAt{};
   TraceResult mResult;
   JsonFaults* mFaults = nullptr;
--- a/tests/ReplayTest.cpp
+++ b/tests/ReplayTest.cpp
@@ -18,7 +18,7 @@
                            R"("rules":[{"name":"checks","deadline_ms":100}]})"
                            "\n";
 
-std::string Remedy(const std::string& aText)
+std::string PlayAndDescribeError(const std::string& aText)
 {
   std::ostringstream out;
   auto result = replay::PlayTrace("bad.jsonl", aText, out);
@@ -30,7 +30,7 @@
   return HEATHERPLANK_SOURCE_DIR "/tests/traces/" + aName + ".jsonl";
 }
 
-bool Has(const std::string& aText, const std::string& aPart)
+bool Contains(const std::string& aText, const std::string& aPart)
 {
   return aText.find(aPart) != std::string::npos;
 }
@@ -39,7 +39,7 @@
 
 TEST_GROUP(Replay){};
 
-TEST(Replay, EveryRecordedTraceHasItsOutcomes)
+TEST(Replay, EveryRecordedTraceMeetsItsExpectations)
 {
   std::vector<std::string> traces;
   for (auto name :
@@ -53,7 +53,7 @@
   STRCMP_EQUAL("", status == 0 ? "" : out.str().c_str());
 }
 
-TEST(Replay, AnOutcomeThatDoesNotComeNamesTraceLineAndFigures)
+TEST(Replay, UnmetExpectationReportsTraceLineAndFigures)
 {
   std::ostringstream out;
   const std::string text =
@@ -69,34 +69,40 @@
                out.str().c_str());
 }
 
-TEST(Replay, ABadTraceSaysWhereAndWhatToDo)
+TEST(Replay, InvalidTraceReportsLineAndRemedy)
 {
-  CHECK_TRUE(Has(Remedy("{\"event\":\"requests\"}\n"), "bad.jsonl:1"));
-  CHECK_TRUE(Has(Remedy("{\"event\":\"end\"}\n"), "begin the trace"));
-  CHECK_TRUE(Has(Remedy(kFleet + "{oops\n"), "bad.jsonl:2"));
-  CHECK_TRUE(Has(Remedy(kFleet), "no outcome is stated"));
+  CHECK_TRUE(Contains(PlayAndDescribeError("{\"event\":\"requests\"}\n"),
+                      "bad.jsonl:1"));
   CHECK_TRUE(
-    Has(Remedy(kFleet + R"({"event":"expect","figure":"p42","at_least":1})"),
-        "p99_ms"));
+    Contains(PlayAndDescribeError("{\"event\":\"end\"}\n"), "begin the trace"));
+  CHECK_TRUE(Contains(PlayAndDescribeError(kFleet + "{oops\n"), "bad.jsonl:2"));
+  CHECK_TRUE(Contains(PlayAndDescribeError(kFleet),
+                      "the trace contains no expectation"));
   CHECK_TRUE(
-    Has(Remedy(kFleet + R"({"event":"requests","class":"x","count":1})"),
-        "no rule is named"));
+    Contains(PlayAndDescribeError(
+               kFleet + R"({"event":"expect","figure":"p42","at_least":1})"),
+             "p99_ms"));
   CHECK_TRUE(
-    Has(Remedy(R"({"event":"fleet","service":"a","hosts":1,"balancing":"b"})"),
-        "least-latency"));
+    Contains(PlayAndDescribeError(
+               kFleet + R"({"event":"requests","class":"x","count":1})"),
+             "no rule is named"));
+  CHECK_TRUE(
+    Contains(PlayAndDescribeError(
+               R"({"event":"fleet","service":"a","hosts":1,"balancing":"b"})"),
+             "least-latency"));
 }
 
-TEST(Replay, AMissingFileIsAnErrorOfItsOwn)
+TEST(Replay, MissingFileReturnsStatusTwoAndNamesThePath)
 {
   std::ostringstream out;
   const std::vector<std::string> traces{ "/nonexistent.jsonl" };
   CHECK_EQUAL(2, RunReplay(traces, out));
-  CHECK_TRUE(Has(out.str(), "/nonexistent.jsonl"));
+  CHECK_TRUE(Contains(out.str(), "/nonexistent.jsonl"));
 }
 
-// What the traces guard against does happen: with the guard off, or with
-// another admission, the same trace misses a stated outcome.
-TEST(Replay, ATraceFailsWithItsGuardOff)
+// Guards against traces that pass whatever the decision code does: with the
+// guard off or another admission policy, each trace misses an expectation.
+TEST(Replay, TraceMissesAnExpectationWithItsGuardOff)
 {
   const std::pair<const char*, const char*> cases[] = {
     { "burst", R"("admission":"fifo")" },
@@ -110,10 +116,11 @@
     { "lying-endpoints", R"("outlier":"off")" },
     { "retry-storm", R"("guards_off":["spread_returns"])" },
   };
-  const std::string mark = R"("event":"fleet",)";
-  for (const auto& [name, change] : cases) {
+  const std::string fleetEvent = R"("event":"fleet",)";
+  for (const auto& [name, setting] : cases) {
     std::string text = ReadFile(PathOf(name)).value();
-    text.insert(text.find(mark) + mark.size(), std::string(change) + ",");
+    text.insert(text.find(fleetEvent) + fleetEvent.size(),
+                std::string(setting) + ",");
     std::ostringstream out;
     auto result = replay::PlayTrace(name, text, out);
     CHECK_TRUE_TEXT(result.has_value() && result->mFailed > 0, name);
