--- a/src/membership/BalancerRepair.cpp
+++ b/src/membership/BalancerRepair.cpp
@@ -16,8 +16,8 @@
  * many start one after another, a balancer considers itself the monitor of a
  * host that sends heartbeats to others, and declares it dead: 1,049 times in
  * 40 s of a simulation with 40 balancers and 120 live hosts, whose open flows
- * were then not found there. A suspected member is therefore sent a request for a
- * heartbeat, and answers whichever monitors it has chosen itself. */
+ * were then not found there. A suspected member is therefore sent a request for
+ * a heartbeat, and answers whichever monitors it has chosen itself. */
 void BalancerMembership::RequestHeartbeatsFromSuspects(
   const MemberTable& aTable, Time aNow)
 {
