--- a/src/replay/Player.cpp
+++ b/src/replay/Player.cpp
@@ -149,7 +149,7 @@
   Actions actions;
   const Request request = MakeRequest(aId, mRequests.at(aId));
   mHosts[aHost]->mAdmission->OnRequest(request, mNow, actions);
-  ExecuteAll(aHost, actions);
+  ExecuteActions(aHost, actions);
 }
 
 Request Player::MakeRequest(RequestId aId, const RequestState& aState) const
@@ -165,7 +165,7 @@
   return request;
 }
 
-void Player::ExecuteAll(std::size_t aHost, const Actions& aActions)
+void Player::ExecuteActions(std::size_t aHost, const Actions& aActions)
 {
   for (const auto& it : aActions) {
     Execute(aHost, it);
@@ -239,7 +239,7 @@
   Actions actions;
   host.mAdmission->OnDone(aId, aResult, aDuration, mNow, actions);
   Conclude(aHost, aId, aResult);
-  ExecuteAll(aHost, actions);
+  ExecuteActions(aHost, actions);
 }
 
 // Records the outcome of a run, or retries the request on another host.
@@ -309,7 +309,7 @@
   mRequests.erase(aId);
   ClassTally& tally = TallyFor(state);
   ++tally.mRefusedAttempts;
-  tally.mWithRetryTime += aRetryAfter > Duration{} ? 1 : 0;
+  tally.mRefusalsWithRetryTime += aRetryAfter > Duration{} ? 1 : 0;
   ++tally.mByReason.at(static_cast<std::size_t>(aReason));
   tally.mRefusalWaits.push_back(mNow - state.mSentAt);
   const bool callerReturns = mOptions.mReturning != Returning::Never &&
--- a/src/replay/Player.h
+++ b/src/replay/Player.h
@@ -189,7 +189,7 @@
   Candidate MakeCandidate(std::size_t aHost) const;
   std::size_t IndexOf(HostId aHost) const;
   void Deliver(std::size_t aHost, RequestId aId);
-  void ExecuteAll(std::size_t aHost, const Actions& aActions);
+  void ExecuteActions(std::size_t aHost, const Actions& aActions);
   void Execute(std::size_t aHost, const Action& aAction);
   void Dispatch(std::size_t aHost, RequestId aId);
   void OnRunEnd(std::size_t aHost, RequestId aId, RunResult aResult,
--- a/src/replay/PlayerFleet.cpp
+++ b/src/replay/PlayerFleet.cpp
@@ -17,7 +17,7 @@
 constexpr Duration kImbalanceWindow = 1s;
 constexpr double kColdExtraSlowness = 4.0;
 constexpr double kWarmUpAnswers = 10.0;
-constexpr Duration kMaxRunToEnd = std::chrono::minutes(10);
+constexpr Duration kRunToEndTimeout = std::chrono::minutes(10);
 
 } // namespace
 
@@ -51,14 +51,14 @@
   host.mIsDraining = true;
   Actions actions;
   host.mAdmission->OnDrain(mNow, actions);
-  ExecuteAll(aHost, actions);
+  ExecuteActions(aHost, actions);
 }
 
 void Player::SetSlots(std::size_t aHost, std::uint32_t aSlots)
 {
   Actions actions;
   mHosts.at(aHost)->mAdmission->OnSlots(aSlots, mNow, actions);
-  ExecuteAll(aHost, actions);
+  ExecuteActions(aHost, actions);
 }
 
 void Player::Hint(std::size_t aHost, bool aHealthy)
@@ -96,7 +96,7 @@
 
 void Player::RunToEnd()
 {
-  const Time latest = mNow + kMaxRunToEnd;
+  const Time latest = mNow + kRunToEndTimeout;
   while ((mRequestsInProgress > 0 || mScheduledCount > 0) && mNow < latest) {
     Step();
   }
@@ -122,7 +122,7 @@
     mHosts[aHost]->mWakeAt.reset();
     Actions actions;
     mHosts[aHost]->mAdmission->OnTick(mNow, actions);
-    ExecuteAll(aHost, actions);
+    ExecuteActions(aHost, actions);
   });
 }
 
@@ -155,7 +155,7 @@
     }
     Actions actions;
     mHosts[i]->mAdmission->OnPeers(peers, mNow, actions);
-    ExecuteAll(i, actions);
+    ExecuteActions(i, actions);
   }
   ScheduleAfter(kExchangeInterval, [this] { ExchangeLoads(); });
 }
--- a/src/replay/Tally.cpp
+++ b/src/replay/Tally.cpp
@@ -57,7 +57,7 @@
       [](const auto& aIt) { return double(aIt.mRefusedAttempts); } },
     { "told_share",
       [](const auto& aIt) {
-        return Ratio(aIt.mWithRetryTime, aIt.mRefusedAttempts);
+        return Ratio(aIt.mRefusalsWithRetryTime, aIt.mRefusedAttempts);
       } },
     { "lost", [](const auto& aIt) { return LostRequests(aIt); } },
     { "run_twice", [](const auto& aIt) { return double(aIt.mRunTwice); } },
@@ -133,7 +133,7 @@
   aSum.mLate += aIt.mLate;
   aSum.mFailed += aIt.mFailed;
   aSum.mRefused += aIt.mRefused;
-  aSum.mWithRetryTime += aIt.mWithRetryTime;
+  aSum.mRefusalsWithRetryTime += aIt.mRefusalsWithRetryTime;
   aSum.mRefusedAttempts += aIt.mRefusedAttempts;
   aSum.mForwarded += aIt.mForwarded;
   aSum.mRetried += aIt.mRetried;
--- a/src/replay/Tally.h
+++ b/src/replay/Tally.h
@@ -29,7 +29,7 @@
   /** Requests whose last attempt was refused. */
   std::uint64_t mRefused = 0;
   /** Refusals that carried a retry time. */
-  std::uint64_t mWithRetryTime = 0;
+  std::uint64_t mRefusalsWithRetryTime = 0;
   std::uint64_t mRefusedAttempts = 0;
   std::uint64_t mForwarded = 0;
   std::uint64_t mRetried = 0;
@@ -44,7 +44,8 @@
   Duration mWantedWork{};
   /** The part of mWantedWork that was answered in time. */
   Duration mAnsweredWork{};
-  /** For each answer in time: its time since the start, and its slot time. */
+  /** For each answer in time: its time since the start, and its request's
+   * slot time on a healthy host. */
   std::vector<std::pair<Duration, Duration>> mAnswers;
 };
 
--- a/src/replay/TraceReader.cpp
+++ b/src/replay/TraceReader.cpp
@@ -234,12 +234,13 @@
   }
   arrival.mClass = *index;
   arrival.mGroup = group;
-  const std::uint64_t first = HashBytes(caller, ++mRequestEvents);
-  const bool isNamed = aReader.Has("caller");
+  const std::uint64_t callerSeed = HashBytes(caller, ++mRequestEvents);
+  const bool hasCaller = aReader.Has("caller");
   double at = 0;
   for (std::int64_t i = 0; i < count; ++i) {
     const auto number = static_cast<std::uint64_t>(i % callers);
-    arrival.mCaller = MixHash(isNamed ? HashBytes(caller) : first, number);
+    arrival.mCaller =
+      MixHash(hasCaller ? HashBytes(caller) : callerSeed, number);
     arrival.mFlow = arrival.mCaller;
     arrival.mTakes = FromMs(Draw(meanDuration, isExponential, mRng));
     Player* player = mPlayer.get();
