--- a/src/agent/Agent.cpp
+++ b/src/agent/Agent.cpp
@@ -145,8 +145,8 @@
     }
     if (!mConfig.Current()) {
       return Fail(ErrorKind::Unavailable, "no configuration yet",
-                  "apply a configuration, or check the platform and the "
-                  "balancers");
+                  "apply a configuration, or check the platform's object "
+                  "store and the balancers");
     }
     if (!mMembers.IsInView()) {
       return Fail(ErrorKind::Unavailable,
--- a/src/agent/ConfigFeed.h
+++ b/src/agent/ConfigFeed.h
@@ -16,9 +16,9 @@
 class ControlLinks;
 class MetricsRegistry;
 
-/** Drives an agent's configuration: requests the entry of the agent's service
- * from the balancers. Doesn't call the platform, so an agent can start during a
- * platform outage. Thread safe.
+/** Does the I/O of AgentConfiguration: requests the service's part of the
+ * configuration from the balancers. Does not use the platform's object store,
+ * so an agent can start during a platform outage. Thread safe.
  */
 class ConfigFeed
 {
@@ -35,8 +35,7 @@
   /** aSeeds: control addresses of the initial balancers. */
   ConfigFeed(Parts aParts, ServiceId aService, std::span<const Address> aSeeds);
 
-  /** Adds the balancers that are believed to be alive to those that are
-   * queried. */
+  /** Adds live balancers to those that are queried; removes none. */
   void SetBalancers(std::span<const Member> aBalancers);
 
   /** The configuration in force here, or null. */
--- a/src/agent/FlowHandler.cpp
+++ b/src/agent/FlowHandler.cpp
@@ -15,8 +15,8 @@
 
 namespace {
 
-/** Larger hand-offs are sent over TCP: with headers they would not fit into an
- * Ethernet frame. */
+/** Larger hand-offs are sent over TCP: with headers and tunnels they might not
+ * fit into an Ethernet frame. */
 constexpr std::size_t kMaxHandOffDatagramBytes = 1200;
 constexpr auto kWrongServiceRetryAfter = std::chrono::seconds(1);
 /** Ticks between two expiries of answers and exports of counters: half a second
--- a/src/agent/FlowHandler.h
+++ b/src/agent/FlowHandler.h
@@ -96,8 +96,8 @@
   void HandleRequest(FlowShard& aShard, const HeldPacket& aPacket,
                      FlowEpoch aEpoch, bool aLent, FlowEffects& aEffects);
   /** Forwards a copy of a request, or its cancellation, to the host that the
-   * request was lent to. Returns false if it was not lent, or the
-   * borrower has left the view. */
+   * request was lent to (FlowShard::LentRequest). Returns false if it was not
+   * lent, or the borrower has left the view. */
   bool ForwardToBorrower(FlowShard& aShard, const HeldPacket& aPacket,
                          FlowEpoch aEpoch, const std::string& aRequestId,
                          FlowEffects& aEffects);
--- a/src/agent/FlowShard.h
+++ b/src/agent/FlowShard.h
@@ -40,8 +40,10 @@
   Ownership mOwnership;
   AnswerStore mAnswers;
   std::unordered_map<PacketToken, HeldPacket> mHeld;
-  /** A request that another host runs for this one. Copies of it are forwarded
-   * to the same host until mExpiresAt. */
+  /** A request that this host lent: before it ran here, it was forwarded to
+   * another host, the borrower, which runs and answers it, while the flow keeps
+   * its owner. A packet forwarded to the owner of its flow is not lent. Copies
+   * of the request are forwarded to the borrower until mExpiresAt. */
   struct LentRequest
   {
     HostId mBorrower;
--- a/src/agent/PendingRequest.h
+++ b/src/agent/PendingRequest.h
@@ -21,10 +21,11 @@
   Address mReturnTo;
   Address mHintTo;
   /** Another host owns the flow and lent the request to this one, which runs
-   * it. */
+   * it; see FlowShard::LentRequest. */
   bool mLent = false;
   std::uint8_t mHops = 0;
   CallerRequest mRequest;
+  /** The service's first rule that matches the request; default if none. */
   Rule mRule;
   std::uint16_t mClass = 0;
   Time mArrival;
--- a/src/agent/RunOnceRecorder.cpp
+++ b/src/agent/RunOnceRecorder.cpp
@@ -16,8 +16,8 @@
 /** Half a second at 5 ms a tick. */
 constexpr std::uint64_t kTicksPerExport = 100;
 
-/** Orders replies by the certainty that the request ran: "ran" takes precedence
- * over "may have run", and that over "did not run". */
+/** Orders replies by what they report: a final answer; ended without an answer;
+ * running; unsure; given up; unknown. The first of these takes precedence. */
 int Precedence(KeyKnowledge aKnowledge)
 {
   switch (aKnowledge) {
--- a/src/balancer/Balancer.cpp
+++ b/src/balancer/Balancer.cpp
@@ -113,7 +113,8 @@
     }
     if (!mConfig.Current()) {
       return Fail(ErrorKind::Unavailable, "no configuration yet",
-                  "apply one, or check the platform and the peers");
+                  "apply one, or check the platform's object store and the "
+                  "peers");
     }
     MembershipReadiness members = mMembers.Readiness();
     if (members != MembershipReadiness::Ready) {
--- a/src/config/ConfigurationAssembler.cpp
+++ b/src/config/ConfigurationAssembler.cpp
@@ -76,7 +76,7 @@
   CheckUniqueness(*out, faults);
   if (!faults.IsEmpty()) {
     return Fail(ErrorKind::Malformed, faults.Describe(),
-                "make sure that only heatherplank writes below config/");
+                "make sure that only heatherplank writes keys below config/");
   }
   mServicesByPart = std::move(servicesByPart);
   IndexAddresses(*out);
--- a/src/config/ConfigurationHead.cpp
+++ b/src/config/ConfigurationHead.cpp
@@ -133,7 +133,7 @@
     return out;
   }
   return Fail(ErrorKind::Malformed, faults.Describe(),
-              "make sure that only heatherplank writes below config/");
+              "make sure that only heatherplank writes keys below config/");
 }
 
 std::string DescribeHead(const ConfigurationHead& aHead)
--- a/src/membership/AgentMembership.cpp
+++ b/src/membership/AgentMembership.cpp
@@ -95,8 +95,8 @@
   }
 }
 
-/** Failure met: a balancer that starts learns of the hosts only from their next
- * heartbeats, up to 0.5 s later, and refuses callers meanwhile. An agent
+/** Guards against: a balancer that starts learns of the hosts only from their
+ * next heartbeats, up to 0.5 s later, and refuses callers meanwhile. An agent
  * therefore sends a heartbeat to a new monitor as soon as it learns of it. */
 void AgentMembership::AnnounceToNewMonitors(Time aNow)
 {
@@ -149,7 +149,7 @@
   return heartbeat;
 }
 
-/** Failure met: all monitors of a host die at once, no balancer notifies its
+/** Guards against: all monitors of a host die at once, no balancer notifies its
  * agent of the new monitors, and the host is declared dead. Some heartbeats
  * therefore also go to a randomly chosen balancer, which detects by the digests
  * that the agent's list is outdated and sends the current one. */
@@ -210,14 +210,15 @@
   } else {
     AnnounceToNewMonitors(aNow);
   }
-  // See BalancerMembership::RequestHeartbeatsFromSuspects.
+  // A balancer that suspects this host requests a heartbeat; see
+  // BalancerMembership::RequestHeartbeatsFromSuspects.
   if (delta->mAsks && !delta->mRecords.empty()) {
     mActions.push_back(
       { delta->mRecords.front().mMember.mControl, MakeHeartbeat(aNow) });
   }
 }
 
-/** Failure met: the host's clock steps back across a restart, so the new
+/** Guards against: the host's clock steps back across a restart, so the new
  * incarnation is lower than the previous one, every heartbeat counts as stale
  * and the host never returns. Visible in the counter heartbeat_stale. The agent
  * is sent its own record with the higher incarnation, and adopts the next
--- a/src/membership/BalancerBootstrap.cpp
+++ b/src/membership/BalancerBootstrap.cpp
@@ -72,7 +72,7 @@
   Send(seed, request);
 }
 
-/** Failure met: a new balancer routes by a view of the few hosts whose
+/** Guards against: a new balancer routes by a view of the few hosts whose
  * heartbeats it has received so far, and existing flows are placed again. It is
  * ready only once its peers have sent a complete snapshot, continuing with the
  * next peer if one dies half-way; or, if no peer answers, once heartbeats add
--- a/src/membership/BalancerMembership.cpp
+++ b/src/membership/BalancerMembership.cpp
@@ -112,7 +112,7 @@
   RepairAgent(aHeartbeat, aNow);
 }
 
-/** Failure met: an agent that was stalled or isolated continues to run its
+/** Guards against: an agent that was stalled or isolated continues to run its
  * flows while other hosts take them over. The answer carries the number of the
  * heartbeat, so the agent knows until when it was certainly considered alive;
  * without an answer for some time it stops making decisions. */
--- a/src/membership/BalancerMembership.h
+++ b/src/membership/BalancerMembership.h
@@ -55,7 +55,8 @@
   std::size_t mMaxRepairRanges = 8;
   /** Maximum number of records in a snapshot chunk. */
   std::uint32_t mChunkRecords = 512;
-  /** A peer that sends no chunk for this long is replaced by the next one. */
+  /** A new balancer that receives no snapshot chunk from a seed for this long
+   * requests the chunk from the next seed. */
   Duration mChunkTimeout = std::chrono::milliseconds(800);
   /** If no peer answers, a balancer is ready once no new member has appeared
    * for this long: three heartbeat intervals of an agent. */
--- a/src/membership/BalancerRepair.cpp
+++ b/src/membership/BalancerRepair.cpp
@@ -12,12 +12,12 @@
 
 } // namespace
 
-/** Failure met: while the lists of balancers differ, for example because many
- * start one after another, a balancer considers itself the monitor of a host
- * that sends heartbeats to others, and declares it dead: 1,049 times in 40 s of
- * a simulation with 40 balancers and 120 live hosts, whose open flows were then
- * not found there. A suspected member is therefore sent a request for a
- * heartbeat, and answers whichever monitors it has chosen itself. */
+/** Guards against: while the lists of balancers differ, for example because
+ * many start one after another, a balancer considers itself the monitor of a
+ * host that sends heartbeats to others, and declares it dead: 1,049 times in
+ * 40 s of a simulation with 40 balancers and 120 live hosts, whose open flows
+ * were then not found there. A suspected member is therefore sent a request for
+ * a heartbeat, and answers whichever monitors it has chosen itself. */
 void BalancerMembership::RequestHeartbeatsFromSuspects(
   const MemberTable& aTable, Time aNow)
 {
@@ -79,8 +79,8 @@
   }
 }
 
-/** Failure met: a change sent to an agent is lost, and the agent continues to
- * hand off flows to a host that left. Each heartbeat carries digests of the
+/** Guards against: a change sent to an agent is lost, and the agent continues
+ * to hand off flows to a host that left. Each heartbeat carries digests of the
  * agent's members and balancers; if one differs, the whole list is sent. */
 void BalancerMembership::RepairAgent(const Heartbeat& aHeartbeat, Time aNow)
 {
--- a/src/membership/MemberRecord.h
+++ b/src/membership/MemberRecord.h
@@ -29,9 +29,9 @@
 /** The service under which balancers are members of the balancers' table. */
 ServiceId BalancerService();
 
-/** What is known of a member. Records of one host form a join semilattice: any
- * two have a join, and merging is commutative, associative and idempotent, so
- * tables that received the same records in any order hold the same contents.
+/** What is known of a member. Records of one host form a join semilattice:
+ * merging is commutative, associative and idempotent, so tables that received
+ * the same records in any order hold the same contents.
  */
 struct MemberRecord
 {
@@ -43,7 +43,7 @@
   std::uint32_t mBeat = 0;
   /** The conclusion drawn from missing heartbeats after mBeat. */
   Verdict mVerdict = Verdict::Alive;
-  /** How long the host had served at sending, by its own clock. */
+  /** How long the host had served at sending; not the age of the record. */
   Duration mAge{};
 
   bool operator==(const MemberRecord&) const = default;
@@ -104,7 +104,7 @@
   /** This is the reply to a digest, and is not replied to. */
   bool mIsReply = false;
   std::uint64_t mVersion = 0;
-  /** One hash for each of a power of two of equal ranges of host ids. */
+  /** Hashes of equal ranges of host ids; their number is a power of two. */
   std::vector<std::uint64_t> mHashes;
 };
 
--- a/src/membership/MemberTable.cpp
+++ b/src/membership/MemberTable.cpp
@@ -146,10 +146,10 @@
   return changed;
 }
 
-/** Failure met: a misconfigured agent announces itself for a service that its
- * host doesn't run, and would be sent that service's requests. Visible in the
- * counter refused_by_inventory. Every record that enters the table is checked
- * here, and the agent checks the service again on delivery. */
+/** Guards against: a misconfigured agent announces itself for a service that
+ * its host doesn't run, and would be sent that service's requests. Visible in
+ * the counter refused_by_inventory. Every record that enters the table is
+ * checked here, and the agent checks the service again on delivery. */
 bool MemberTable::IsRefused(const MemberRecord& aRecord)
 {
   if (mCheck.Allows(aRecord.mMember)) {
@@ -210,7 +210,7 @@
   return changed;
 }
 
-/** Failure met: an isolated peer declares most hosts dead, and its verdicts
+/** Guards against: an isolated peer declares most hosts dead, and its verdicts
  * empty every view. Visible in the counter death_held_by_cap. The cap counts
  * all recent deaths, whichever balancer declared them. */
 bool MemberTable::ExceedsDeathCap(const MemberEntry& aEntry,
@@ -228,8 +228,8 @@
   return true;
 }
 
-/** Failure met: one balancer receives no heartbeats from a host that others can
- * reach, and its suspicion removes the host from every view. Visible in the
+/** Guards against: one balancer receives no heartbeats from a host that others
+ * can reach, and its suspicion removes the host from every view. Visible in the
  * counter refuted. Heartbeats are numbered by the host, so a balancer that
  * knows a later heartbeat than the suspicion does can refute it without
  * comparing clocks. */
--- a/src/membership/MemberTable.h
+++ b/src/membership/MemberTable.h
@@ -66,7 +66,10 @@
    * heartbeat since monitoring began: they may not know yet that it monitors
    * them. */
   Duration mNewMonitorGracePeriod = std::chrono::seconds(3);
-  /** Maximum fraction of members that may be unresponsive or recently dead. */
+  /** If more than this fraction of the monitored members are unresponsive or
+   * were recently declared dead here, the process counts as isolated and
+   * declares no deaths. A death reported by a peer is ignored if recent deaths
+   * would exceed this fraction of all members. One death is always allowed. */
   double mMaxDeadFraction = 0.5;
   /** A death counts against the cap for this long. */
   Duration mRecentDeathWindow = std::chrono::seconds(30);
@@ -127,13 +130,15 @@
   /** Like OnDelta, but ignores tombstones of hosts unknown here. Otherwise
    * repair would exchange tombstones indefinitely. */
   void OnSnapshot(const MemberSnapshot& aSnapshot, Time aNow);
-  /** Merges a complete ServiceDelta. Members of the service that it lacks are
-   * dropped if their last known heartbeat is at least aUnlistedTimeout old. */
+  /** Merges a MemberDelta that a peer's ServiceDelta returned. Members of the
+   * service that it lacks are dropped if their last known heartbeat is at least
+   * aUnlistedTimeout old. */
   void OnServiceDelta(ServiceId aService, const MemberDelta& aDelta,
                       Duration aUnlistedTimeout, Time aNow);
 
   /** Detects failures, advances slow starts and expires tombstones. Call a few
-   * times a second; the cost depends on what is due, not on the members. */
+   * times a second; the cost depends on what is due, not on the number of
+   * members. */
   void OnTick(Time aNow);
 
   /** Selects the members that this table monitors; all by default. A balancer
--- a/src/membership/MemberTableTime.cpp
+++ b/src/membership/MemberTableTime.cpp
@@ -36,7 +36,7 @@
   }
 }
 
-/** Failure met: this balancer is isolated or was stalled, receives no
+/** Guards against: this balancer is isolated or was stalled, receives no
  * heartbeats, and would drop the whole fleet. Visible in IsIsolated and the
  * readiness. All overdue hosts are collected before any is declared dead, so
  * the cap counts every unresponsive host before the first death. */
@@ -111,9 +111,10 @@
   return std::max<std::size_t>(1, share);
 }
 
-/** Failure met: a host that just started gets its full share of requests before
- * its caches are warm, and the requests wait. Visible as high latency after
- * each restart. The weight grows in steps to limit how often views change. */
+/** Guards against: a host that just started gets its full share of requests
+ * before its caches are warm, and the requests wait. Visible as high latency
+ * after each restart. The weight grows in steps to limit how often views
+ * change. */
 void MemberTable::AdvanceSlowStarts(Time aNow)
 {
   for (auto it = mSlowStarting.begin(); it != mSlowStarting.end();) {
@@ -128,8 +129,8 @@
   }
 }
 
-/** Failure met: a record that was in flight, or held by an isolated peer, when
- * its host left adds the host again as a member that never answers. The
+/** Guards against: a record that was in flight, or held by an isolated peer,
+ * when its host left adds the host again as a member that never answers. The
  * tombstone has the later state and heartbeat, so merging rejects the stale
  * record. A stale record that arrives after the tombstone expired is followed
  * by no heartbeats, so the host is suspected and declared dead again. */
--- a/src/membership/Monitors.h
+++ b/src/membership/Monitors.h
@@ -34,7 +34,7 @@
  * make the same choice from the same list, and adding or removing a balancer
  * changes the monitors of only its share of hosts. Thread safe.
  *
- * Failure met: a data centre fails with its balancers and its hosts. If its
+ * Guards against: a data centre fails with its balancers and its hosts. If its
  * hosts were monitored only by its balancers, no process would declare them
  * dead, and they would stay in every view.
  */
--- a/src/passthrough/DrainLease.h
+++ b/src/passthrough/DrainLease.h
@@ -11,7 +11,7 @@
  * each of its heartbeats with a notice while the drain lasts; the drain expires
  * kDuration after the last notice.
  *
- * Failure met: a balancer that is isolated from the store and the other
+ * Guards against: a balancer that is isolated from the store and the other
  * balancers still offers flows to hosts of a data centre that the operator
  * drains. The agent rejects them as long as it receives notices from a balancer
  * with current state. An offer with a newer version than the notice's ends the
--- a/src/passthrough/DrainWatch.cpp
+++ b/src/passthrough/DrainWatch.cpp
@@ -134,8 +134,8 @@
   Accept(read, "store");
 }
 
-/** Failure met: an isolated peer or a delayed response reports a drain that was
- * cancelled since, or the state before it. The version check rejects it. */
+/** Guards against: an isolated peer or a delayed response reports a drain that
+ * was cancelled since, or the state before it. The version check rejects it. */
 void DrainWatch::Accept(const DataCentreDrains& aDrains,
                         std::string_view aSource)
 {
--- a/src/passthrough/HostFlows.cpp
+++ b/src/passthrough/HostFlows.cpp
@@ -92,10 +92,10 @@
   return out;
 }
 
-/** Failure met: hosts turn cold while their data centre is drained and report
- * it only with their next announcement. When the drain ends, they would receive
- * the load of warm hosts, so a host counts as possibly cold until it has sent
- * an announcement after the drain. */
+/** Guards against: hosts turn cold while their data centre is drained and
+ * report it only with their next announcement. When the drain ends, they would
+ * receive the load of warm hosts, so a host counts as possibly cold until it
+ * has sent an announcement after the drain. */
 bool HostFlows::MayBeCold(Time aNow) const
 {
   bool wasDrained = mDrain.ExpiresAt() != Time{};
@@ -131,9 +131,9 @@
     CountEvent(HostFlowEvent::Malformed);
     return;
   }
-  // Failure met: a host's address was reassigned to a host of another service
-  // while a balancer still has the old member. Without this check the packet
-  // would reach a service that its route does not name.
+  // Guards against: a host's address was reassigned to a host of another
+  // service while a balancer still has the old member. Without this check the
+  // packet would reach a service that its route does not name.
   if (mOptions.mGuards.mCheckService &&
       aSteered.mService != mOptions.mService) {
     CountEvent(HostFlowEvent::RefusedOtherService);
@@ -195,7 +195,7 @@
  * the packet, so the repeat would open a new flow there: the host receives it
  * only while it takes new flows.
  *
- * Failure met: a host replies to the first opening packet, crashes, restarts
+ * Guards against: a host replies to the first opening packet, crashes, restarts
  * and announces that it is draining; the repeat then opens a flow at the
  * draining incarnation. A reply of an earlier incarnation is therefore ignored
  * while the host takes no new flows. */
--- a/src/passthrough/HostFlows.h
+++ b/src/passthrough/HostFlows.h
@@ -167,7 +167,7 @@
     /** The host returned a packet of the flow: it does not hold the flow, and
      * will not hold it before an opening packet arrives.
      *
-     * Failure met: while the agent of a flow's host restarts, the balancers
+     * Guards against: while the agent of a flow's host restarts, the balancers
      * search for each packet that the caller retransmits, and all agents that
      * restarted recently probe their hosts with it. Packets of an open flow
      * then reach other hosts repeatedly. This stage limits each host to one
--- a/src/passthrough/HostStatus.cpp
+++ b/src/passthrough/HostStatus.cpp
@@ -26,7 +26,7 @@
           *aAnnouncement.mStartedAt == *mStartedAt);
 }
 
-/** Failure met: an announcement delayed by a network partition arrives after
+/** Guards against: an announcement delayed by a network partition arrives after
  * another host replaced its sender. It would restore a dead host's state or
  * mark a live host as gone. Incarnations are ordered by start time; those
  * without a start time are recognised by the ids of earlier hosts. */
--- a/src/passthrough/InventoryPeers.h
+++ b/src/passthrough/InventoryPeers.h
@@ -21,14 +21,14 @@
  * when the version changes. The receiver of a newer version requests the
  * document; the receiver of an older version responds with its own version.
  *
- * Failure met: a document of 1,000 routes occupies a link of 2 Mbit/s for more
- * than half a second. A restarted balancer that requested it from eight peers
- * at once, and again after 250 ms, received a dozen copies. Callers' packets
- * were queued behind them for seconds, also on the senders' links. It showed as
- * opening packets without a response at every balancer in the seconds after one
- * of them started. A balancer therefore requests one document at a time,
- * doubles the timeout after each that did not arrive, and limits the documents
- * that it sends to a share of its link.
+ * Guards against: a document of 1,000 routes occupies a link of 2 Mbit/s for
+ * more than half a second. A restarted balancer that requested it from eight
+ * peers at once, and again after 250 ms, received a dozen copies. Callers'
+ * packets were queued behind them for seconds, also on the senders' links. It
+ * showed as opening packets without a response at every balancer in the seconds
+ * after one of them started. A balancer therefore requests one document at a
+ * time, doubles the timeout after each that did not arrive, and limits the
+ * documents that it sends to a share of its link.
  *
  * No I/O or clock access; not thread safe.
  */
--- a/src/passthrough/InventoryWatch.cpp
+++ b/src/passthrough/InventoryWatch.cpp
@@ -123,7 +123,7 @@
   return Accept(aDocument, "peer");
 }
 
-/** Failure met: a delayed response, a stale read or a slow peer delivers a
+/** Guards against: a delayed response, a stale read or a slow peer delivers a
  * version below the one in force, and deleted routes are served again. The
  * version check rejects it. */
 bool InventoryWatch::Accept(const std::string& aDocument,
--- a/src/passthrough/NewByteDetector.h
+++ b/src/passthrough/NewByteDetector.h
@@ -6,7 +6,7 @@
 
 /** Distinguishes new bytes of one direction of a flow from retransmitted ones.
  *
- * Failure met: packets of an upload are reordered, the host repeats its
+ * Guards against: packets of an upload are reordered, the host repeats its
  * acknowledgement, and the caller retransmits data that has arrived; the
  * retransmissions reach the agent after the host's answer. Counted as requests,
  * each held a slot until its timeout of several seconds: of 25 uploads a second
--- a/src/passthrough/ServiceTime.h
+++ b/src/passthrough/ServiceTime.h
@@ -10,8 +10,8 @@
 /** Estimates a host's processing time per request from the response times of
  * its answers or, before the first answer, from the callers' latency target.
  *
- * Failure met: a response time includes the wait in the host's queue. Used as
- * processing time, it overestimates the next wait, so flows are refused that
+ * Guards against: a response time includes the wait in the host's queue. Used
+ * as processing time, it overestimates the next wait, so flows are refused that
  * would be served in time; with no flow placed, the estimate never falls again.
  * The host then refuses flows with few requests in progress, long after a
  * surge. The response time is therefore divided by the number of rounds: one,
--- a/src/passthrough/StoreWatchDuty.h
+++ b/src/passthrough/StoreWatchDuty.h
@@ -18,7 +18,7 @@
  * is billed. In a large fleet a few balancers watch, in different data centres,
  * and notify the others of changes (InventoryPeers).
  *
- * Failure met: the watchers are cut off from the store, dead or stopped, and
+ * Guards against: the watchers are cut off from the store, dead or stopped, and
  * the others keep old routes without knowing. Notices therefore carry the time
  * of the store's last confirmation besides the version, and a balancer without
  * a confirmation for mConfirmationLifetime watches until one arrives. Different
--- a/src/status/StatusObject.cpp
+++ b/src/status/StatusObject.cpp
@@ -91,7 +91,7 @@
     return out;
   }
   return Fail(ErrorKind::Malformed, faults.Describe(),
-              "ensure that only heatherplank writes keys below status/");
+              "make sure that only heatherplank writes keys below status/");
 }
 
 } // namespace heatherplank
--- a/src/steer/FlowMover.h
+++ b/src/steer/FlowMover.h
@@ -24,8 +24,10 @@
   {
   }
 
-  /** Starts the hand-off of a flow if it is confirmed, has no request in
-   * progress, and there is a host to offer it to.
+  /** Starts the hand-off of a flow if its ownership is confirmed
+   * (OwnershipState::IsConfirmed), it has no request in progress, and there is
+   * a host to offer it to. Does nothing while mMaxHandOffs hand-offs are in
+   * progress, or for mRetryAfter after no host was left to offer a flow to.
    */
   void StartIfReady(FlowTable::Entry& aFlow, Time aNow, OwnershipActions& aOut);
 
--- a/src/steer/OwnerLookups.h
+++ b/src/steer/OwnerLookups.h
@@ -88,11 +88,11 @@
 
   /** Handles a query of another agent for a flow that this one queries for too.
    * Ends the round here if the other agent takes precedence; else returns
-   * nothing. The order is total and the same on all hosts: a former owner
-   * precedes a host that places the flow; then the newer epoch, since it began
-   * after a lookup did not find the older one; then the better rank; then the
-   * host and its incarnation. Precondition: a round for the flow is in
-   * progress.
+   * nothing. The order is total and the same on all hosts: a host that owned
+   * the flow before precedes one that only places it. Of two former owners, the
+   * newer epoch wins: it was assigned only after a lookup had not found the
+   * older owner. Then the larger hash of flow and host wins, then the larger
+   * host id and incarnation. Precondition: a round for the flow is in progress.
    */
   std::optional<LookupResult> OnConcurrentQuery(const Ask& aAsk);
 
--- a/src/steer/Ownership.h
+++ b/src/steer/Ownership.h
@@ -155,6 +155,9 @@
   PromiseTable::Entry* FindPromise(const FlowKey& aFlow, Time aNow);
   bool HasDeclined(HostId aHost, Time aNow) const;
   void ExpireTables(Time aNow, OwnershipActions& aOut);
+  /** Reconfirms flows, sends due claims and, while draining, starts hand-offs,
+   * for the next mMaxSweptPerTick slots of the flow table. Removes
+   * no flow; see ExpireTables. */
   void Sweep(Time aNow, OwnershipActions& aOut);
 
   struct Decliner
--- a/src/steer/OwnershipActions.h
+++ b/src/steer/OwnershipActions.h
@@ -112,7 +112,8 @@
   FlowEpoch mEpoch = 0;
 };
 
-/** Free the flow's state; requests in progress are still answered here. */
+/** Free the state of a flow that this host no longer owns. Requests in progress
+ * are still answered here. */
 struct DropFlow
 {
   FlowKey mFlow;
--- a/src/steer/OwnershipMessageHandlers.cpp
+++ b/src/steer/OwnershipMessageHandlers.cpp
@@ -315,7 +315,8 @@
   bool wasRefused = promise != nullptr &&
                     promise->mValue.mTo.mHost == aHandOff.mFrom.mHost &&
                     promise->mValue.mAttempt >= aHandOff.mAttempt;
-  // After the lease expired, the offer may have been made to another host.
+  // While this host's lease was expired it may have been declared dead, and the
+  // sender may have offered the flow to another host since.
   bool mayBeOutdated =
     !MayDispatch(aNow) || mState.mViews.LeaseExpiredRecently(aNow);
   if (mState.mDraining || wasRefused || mayBeOutdated) {
--- a/src/steer/OwnershipMessages.h
+++ b/src/steer/OwnershipMessages.h
@@ -128,6 +128,8 @@
   std::uint16_t mMoves = 0;
   /** Counts the sender's attempts with this flow. */
   std::uint16_t mAttempt = 0;
+  /** A request of the flow was answered; the flow is not evicted for new ones.
+   */
   bool mEstablished = false;
   /** The driver's state of the flow, opaque here. In a decoded message: a view
    * of the message buffer. */
--- a/src/steer/OwnershipOptions.h
+++ b/src/steer/OwnershipOptions.h
@@ -67,7 +67,8 @@
   Duration mRetryInterval = std::chrono::milliseconds(150);
   /** A flow without packets is dropped after this. */
   Duration mFlowIdle = std::chrono::seconds(120);
-  /** An arbiter's entry expires after this without packets or claims. */
+  /** An entry of the arbiter's directory expires after this time without
+   * packets or claims. */
   Duration mDirectoryIdleTimeout = std::chrono::seconds(600);
   /** Interval at which owners repeat their claims; well below
    * mDirectoryIdleTimeout. */
--- a/src/steer/RankTable.h
+++ b/src/steer/RankTable.h
@@ -36,10 +36,10 @@
   /** Default for the maximum number of members that are ranked by a scan. */
   static constexpr std::size_t kScanLimit = 32;
 
-  /** Ranks up to aScanLimit members by a scan. A high limit suits callers that
-   * rank few flows per second but see many view changes, since building the
-   * buckets costs 24 ms per view. Preconditions: aMembers is ordered by host,
-   * each weight is above 0. */
+  /** Ranks up to aScanLimit members by a scan. A high limit suits processes
+   * that rank few flows per second but see many view changes, since building
+   * the buckets costs 24 ms per view of a large service. Preconditions:
+   * aMembers is ordered by host, each weight is above 0. */
   explicit RankTable(std::span<const Member> aMembers,
                      std::size_t aScanLimit = kScanLimit);
 
--- a/src/steer/ServiceView.h
+++ b/src/steer/ServiceView.h
@@ -38,9 +38,9 @@
 
   ServiceId Service() const { return mService; }
 
-  /** Increases with each change that this process received; not comparable
-   * between processes.
-   */
+  /** MemberView::mVersion, a Lamport clock: a view built with knowledge of
+   * another has at least its version. Views of the same version may differ, in
+   * different processes or after a change of the drains. */
   std::uint64_t Version() const { return mVersion; }
 
   /** All members, ordered by host. */
--- a/src/steer/ViewHistory.h
+++ b/src/steer/ViewHistory.h
@@ -54,7 +54,7 @@
   void SetDraining() { mDraining = true; }
 
   /** True if the view was confirmed within mViewTrustTimeout and shows this
-   * incarnation of this host. Other hosts declare a host dead only after a
+   * incarnation of this host. Balancers declare a host dead only after a
    * longer timeout, so no host takes over this host's flows while this is true:
    * it is the lease of an owner.
    */
@@ -65,8 +65,9 @@
    */
   bool LeaseExpiredRecently(Time aNow) const { return aNow < mExpiryWindowEnd; }
 
-  /** True if this host was the flow's arbiter in every view of the query
-   * window: no other agent can have placed the flow.
+  /** True if this host is the flow's arbiter in the current view and was in
+   * any that was current within mQueryWindow: no other agent can have placed
+   * the flow. False until DistrustUntil has passed.
    */
   bool IsSettled(std::uint64_t aFlowHash, Time aNow) const;
 
@@ -76,8 +77,8 @@
   /** The first of Candidates, or null. */
   const Member* Arbiter(std::uint64_t aFlowHash) const;
 
-  /** All other hosts that may own the flow according to any view of the query
-   * window, up to kMaxPeers. */
+  /** All other hosts that may own the flow according to the current view or
+   * any that was current within mQueryWindow, up to kMaxPeers. */
   Peers PeersToQuery(std::uint64_t aFlowHash) const;
 
   /** How much longer the flow must not be taken over because a host that may
--- a/src/store/SyncObjectStore.cpp
+++ b/src/store/SyncObjectStore.cpp
@@ -47,7 +47,7 @@
 {
   if (!aResult && aResult.error().mKind == ErrorKind::Timeout) {
     return Fail(ErrorKind::Unavailable, aResult.error().mMessage,
-                "nothing was changed; check the platform, then retry");
+                "nothing was changed; check the object store, then retry");
   }
   return aResult;
 }
--- a/tests/OwnershipWorld.cpp
+++ b/tests/OwnershipWorld.cpp
@@ -18,9 +18,9 @@
 /** Time without a heartbeat after which a host is declared dead; more than
  * mViewTrustTimeout. */
 constexpr Duration kDeathTimeout = 3s;
-/** Faults are injected for kFaultDuration, then none for kCalmDuration. */
+/** Faults are injected for kFaultDuration, then none for kFaultFreeDuration. */
 constexpr Duration kFaultDuration = 6s;
-constexpr Duration kCalmDuration = 8s;
+constexpr Duration kFaultFreeDuration = 8s;
 constexpr std::uint16_t kBalancerPort = 1000;
 
 /** Distributes owners over the candidates, so that owner and arbiter differ. */
@@ -376,7 +376,7 @@
   }
   Schedule(3s, [this] { DeclareDeaths(); });
   Schedule(kFaultDuration + 1s, [this] { mFaultsEnded = true; });
-  Time end = mNow + kFaultDuration + kCalmDuration;
+  Time end = mNow + kFaultDuration + kFaultFreeDuration;
   while (!mEvents.empty() && mEvents.top().mAt < end) {
     Event event = mEvents.top();
     mEvents.pop();
--- a/tests/OwnershipWorldRules.cpp
+++ b/tests/OwnershipWorldRules.cpp
@@ -12,7 +12,8 @@
 bool OwnershipWorld::IsLive(int aAgent) const
 {
   const Agent& agent = mAgents[aAgent];
-  // A host that left as planned should have handed off its flows.
+  // A host that left as planned counts as live: a flow that it did not hand off
+  // is a violation.
   return (agent.mAlive || agent.mLeft) && !agent.mWasDeclaredDead;
 }
 
