--- a/src/passthrough/PacketFormat.h
+++ b/src/passthrough/PacketFormat.h
@@ -47,7 +47,7 @@
   virtual std::optional<FlowPacket> Parse(ByteView aDatagram) const = 0;
 
   /** Prepares a packet for a host: writes a tag that the packet keeps if the
-   * host returns it to its agent, and clears FlowPacket::mBounced.
+   * host returns it to its agent, and clears FlowPacket::mReturned.
    * Precondition: Parse accepts aPacket. */
   virtual void Tag(std::span<std::uint8_t> aPacket,
                    std::uint32_t aTag) const = 0;
--- a/tests/CommandsTest.cpp
+++ b/tests/CommandsTest.cpp
@@ -138,7 +138,8 @@
   FLAGS_platform = "nowhere";
   Expect(ExitCode::Usage, "--platform", RunGet, {});
   FLAGS_platform = "127.0.0.1:1";
-  Expect(ExitCode::Unavailable, "check that the server is running there", RunGet, {});
+  Expect(ExitCode::Unavailable, "check that the server is running there",
+         RunGet, {});
   FLAGS_platform = mPlatform.Where();
   FLAGS_if_version = 7;
   Expect(ExitCode::Ok, "", RunCheck, { Sample("lakeside.json") });
