--- a/include/heatherplank/Configuration.h
+++ b/include/heatherplank/Configuration.h
@@ -56,7 +56,7 @@
   bool operator==(const ExpectedHost&) const = default;
 };
 
-/** A service of the inventory. */
+/** A service of the inventory. A slot is one concurrent request on a host. */
 struct Service
 {
   std::string mName;
--- a/include/heatherplank/ObjectStore.h
+++ b/include/heatherplank/ObjectStore.h
@@ -86,7 +86,7 @@
   virtual void Delete(std::string_view aKey, WriteCondition aCondition,
                       Done<std::uint64_t> aDone) = 0;
 
-  /** Waits up to aWait for a version above aAfter; nullopt if none arrived. */
+  /** Waits until the object's version is above aAfter; nullopt after aWait. */
   virtual void Watch(std::string_view aKey, std::uint64_t aAfter,
                      Duration aWait, Done<std::optional<Object>> aDone) = 0;
 
--- a/src/agent/GrantRecorder.h
+++ b/src/agent/GrantRecorder.h
@@ -41,8 +41,8 @@
                             DecisionCallback aOnDecision) = 0;
 
   /** Checks a grant just before its request is sent to the backend server.
-   * Returns false if the grant is too old, since this process was paused; the
-   * request must not run then. */
+   * Returns false if the grant is unknown or too old, for example because this
+   * process was paused; the request must not run then. */
   virtual bool MayDispatch(std::uint64_t aNonce) = 0;
 
   /** Records the backend server's answer, which repeats of the request get. */
--- a/src/agent/PolicyMeter.h
+++ b/src/agent/PolicyMeter.h
@@ -29,15 +29,15 @@
   /** Records the final answer of a request, aTook after its arrival. */
   void OnAnswer(Importance aImportance, const Answer& aAnswer, Duration aTook);
 
-  /** Records the flows that this host adopted and lost since the last call. */
+  /** Records how many flows this host adopted, and how many it had to release
+   * because another host owns them, since the last call. */
   void OnFlows(std::uint64_t aOpened, std::uint64_t aBroken);
 
   /** Records one sample of the load of all hosts of the service, this one
    * included. */
   void OnLoads(std::span<const Candidate> aHosts);
 
-  /** Returns and resets the figures since the last call, one entry per policy.
-   */
+  /** Returns and resets the figures since the last call, one per policy. */
   std::vector<PolicyFigures> Take();
 
 private:
--- a/src/agent/RunOnceRecorder.cpp
+++ b/src/agent/RunOnceRecorder.cpp
@@ -17,7 +17,8 @@
 constexpr std::uint64_t kTicksPerExport = 100;
 
 /** Orders replies by what they report: a final answer; ended without an answer;
- * running; unsure; given up; unknown. The first of these takes precedence. */
+ * running; not sure (restarted recently); given up before dispatch; key not
+ * known. The earliest in this list wins. */
 int Precedence(KeyKnowledge aKnowledge)
 {
   switch (aKnowledge) {
--- a/src/agent/RunOnceRecorder.h
+++ b/src/agent/RunOnceRecorder.h
@@ -71,10 +71,10 @@
   void Tick();
 
 private:
+  /** A request of RequestGrant; mNonce is zero until it is granted. */
   struct OpenRequest
   {
     DecisionCallback mOnDecision;
-    /** Zero until the request is granted. */
     Nonce mNonce = 0;
   };
   struct Attempt
--- a/src/balancer/MemberPlane.cpp
+++ b/src/balancer/MemberPlane.cpp
@@ -43,9 +43,10 @@
 {
   BalancerMembershipOptions options;
   options.mSeeds = std::move(aSeeds);
-  // Three heartbeats of an agent. Callers wait a second for an answer and must
-  // be answered before that. A host is declared dead after 3 s, which is longer
-  // than agents trust a view.
+  // A host is suspected after three heartbeats (0.9 s): from then on its
+  // callers are refused, within the second that they wait. It is declared dead
+  // 2.1 s later. By then it has stopped dispatching, since agents trust a view
+  // for 2 s.
   options.mTable.mSuspectTimeout = std::chrono::milliseconds(900);
   options.mTable.mRefutationTimeout = std::chrono::milliseconds(2100);
   // Ranks use the full weight, since a growing weight would move the arbiters
--- a/src/balancer/MemberPlane.h
+++ b/src/balancer/MemberPlane.h
@@ -32,8 +32,8 @@
     ViewsChanged mViewsChanged;
   };
 
-  /** The options for balancers of the request interface. aSeeds holds the
-   * control addresses of balancers to join through. */
+  /** The options for balancers that forward request packets (opaque flows: see
+   * src/passthrough). aSeeds: control addresses of balancers to join by. */
   static BalancerMembershipOptions DefaultOptions(std::vector<Address> aSeeds);
 
   MemberPlane(Parts aParts, const Member& aSelf,
--- a/src/balancer/PacketRouter.h
+++ b/src/balancer/PacketRouter.h
@@ -23,10 +23,10 @@
   Bytes mDatagram;
 };
 
-/** The balancer's packet pipeline: parse, steer, deliver. It holds only soft
- * state: routes are set from outside, and hints may be lost. Thread safe: hints
- * are sharded by the flow's hash, with one lock per shard.
- */
+/** Steers a caller's packet: returns the datagram to send to an agent, a
+ * refusal to the caller, or nothing. Holds only soft state: routes are set from
+ * outside, and hints may be lost. Thread safe: hints are sharded by the flow's
+ * hash, with one lock per shard. */
 class PacketRouter
 {
 public:
--- a/src/caller/CallerRequest.cpp
+++ b/src/caller/CallerRequest.cpp
@@ -73,7 +73,7 @@
   if (aOut.mRequestId.empty() || aOut.mRequestId.size() > kMaxRequestId) {
     return MalformedRequest(
       "Request-Id is missing or too long",
-      "send one of 1 to 128 bytes, unique within the flow");
+      "send a Request-Id of 1 to 128 bytes, unique within the flow");
   }
   aOut.mIdempotencyKey = Text(aFrom["Idempotency-Key"]);
   if (aOut.mIdempotencyKey.size() > kMaxIdempotencyKey) {
--- a/src/config/ConfigDistribution.h
+++ b/src/config/ConfigDistribution.h
@@ -38,8 +38,8 @@
   {
     ConfigPeer mSelf;
     std::uint64_t mSeed = 1;
-    /** With 3, two watchers may die at the same time and one still watches.
-     * Each costs one open watch and one read per change at the platform. */
+    /** With 3, two may die at once. Each costs one open watch, answered once
+     * per change; normally only the first also reads the changed parts. */
     std::size_t mWatchersPerDataCentre = 3;
     /** Children per tree. With 4 the trees over 200 balancers have 4 levels,
      * and a balancer sends 8 offers of 200 bytes per change. */
--- a/src/config/ConfigMessages.h
+++ b/src/config/ConfigMessages.h
@@ -22,8 +22,8 @@
 /** Announces the sender's version: pushed when the version comes into force,
  * and sent periodically as a digest. The changes, if any, turn the head with
  * hash mBaseRoot into this one, so that a receiver with that head needs only
- * the changed parts.
- */
+ * the changed parts. An agent receives, instead of a head and parts, the
+ * configuration reduced to its service (its entry). */
 struct ConfigOffer
 {
   std::uint64_t mVersion = 0;
--- a/src/config/ConfigurationStore.cpp
+++ b/src/config/ConfigurationStore.cpp
@@ -287,7 +287,8 @@
 }
 
 /** Writes an object whose key determines its value. A conflict therefore means
- * that an earlier attempt, whose answer was lost, wrote it. */
+ * that the object already holds this value, from an earlier attempt or another
+ * writer. */
 Result<void> ConfigurationStore::WriteIfAbsent(const std::string& aKey,
                                                const std::string& aValue)
 {
--- a/src/decide/AdmissionPolicy.cpp
+++ b/src/decide/AdmissionPolicy.cpp
@@ -11,9 +11,9 @@
   std::string_view aName, const AdmissionOptions& aOptions)
 {
   if (aOptions.mSlots == 0 || aOptions.mClasses.empty()) {
-    return Fail(ErrorKind::InvalidInput,
-                "admission policy has no slots or no classes",
-                "set mSlots to at least 1 and add at least one class");
+    return Fail(
+      ErrorKind::InvalidInput, "admission policy has no slots or no classes",
+      "set the number of slots to at least 1 and add at least one class");
   }
   if (aName == "reservation") {
     return std::make_unique<ReservationAdmission>(aOptions);
--- a/src/decide/ClassState.h
+++ b/src/decide/ClassState.h
@@ -60,7 +60,7 @@
   {
   }
 
-  /** Copies the observations of the class under its previous options. */
+  /** Copies the observations of the class from before its options changed. */
   void CopyObservations(const ClassState& aPrevious)
   {
     mServiceTimes = aPrevious.mServiceTimes;
--- a/src/decide/FairQueue.h
+++ b/src/decide/FairQueue.h
@@ -75,7 +75,7 @@
   /** Number of requests in the caller's queue. */
   std::uint32_t Depth(std::uint64_t aCaller) const;
 
-  /** Number of requests that would be served before a new one of the caller. */
+  /** Upper estimate of the requests served before a new one of the caller. */
   std::uint32_t CountAhead(std::uint64_t aCaller) const;
 
 private:
--- a/src/decide/HostLoad.h
+++ b/src/decide/HostLoad.h
@@ -21,8 +21,8 @@
   /** Moving average of the time to answer, including the queue; zero if there
    * was no answer yet. */
   Duration mLatency{};
-  /** Moving mean of the time that requests hold a slot, excluding the queue;
-   * zero without a recent answer. */
+  /** Moving mean of the time in a slot, excluding the queue. Zero before the
+   * first result; restarts at the first one after a second without any. */
   Duration mServiceTime{};
   /** Moving share (0 to 1) of dispatched requests that failed or timed out. A
    * host that fails fast has short queues; by load alone it would look best. */
--- a/src/decide/RetryTimePlanner.cpp
+++ b/src/decide/RetryTimePlanner.cpp
@@ -8,7 +8,7 @@
 namespace {
 
 constexpr Duration kMaxWait = std::chrono::seconds(30);
-// Shortest retry time given to a refused caller; sooner, its return would undo
+// Shortest retry time given to a refused caller; an earlier return would undo
 // the effect of the refusal.
 constexpr Duration kMinWait = std::chrono::milliseconds(5);
 constexpr int kJitterDivisor = 4;
--- a/src/decide/ServiceTimes.h
+++ b/src/decide/ServiceTimes.h
@@ -52,7 +52,7 @@
 
   /** The mean over all sizes. */
   Duration Mean() const;
-  /** The mean for a size. */
+  /** The mean for requests of about aSize bytes. */
   Duration Mean(std::uint32_t aSize) const;
   /** Mean plus two deviations for a size: 19 of 20 answers take at most this
    * time. */
--- a/src/membership/AgentMembership.cpp
+++ b/src/membership/AgentMembership.cpp
@@ -30,7 +30,8 @@
 {
   MemberTableOptions options;
   options.mDetectsFailures = false;
-  // The monitors apply the cap before they report a death.
+  // The monitors limit how many hosts are declared dead at once
+  // (mMaxDeadFraction) before they report a death.
   options.mCapDeaths = false;
   return options;
 }
--- a/src/membership/BalancerRepair.cpp
+++ b/src/membership/BalancerRepair.cpp
@@ -82,7 +82,8 @@
 
 /** Guards against: a change sent to an agent is lost, and the agent continues
  * to hand off flows to a host that left. Each heartbeat carries digests of the
- * agent's members and balancers; if one differs, the whole list is sent. */
+ * agent's members and balancers; if one differs, the balancer sends the whole
+ * list. */
 void BalancerMembership::RepairAgent(const Heartbeat& aHeartbeat, Time aNow)
 {
   const Member& member = aHeartbeat.mRecord.mMember;
--- a/src/membership/MemberRecord.h
+++ b/src/membership/MemberRecord.h
@@ -61,7 +61,7 @@
  * excluded, since they differ between tables that have converged. */
 std::uint64_t HashRecord(const MemberRecord& aRecord);
 
-/** Service digest sent by an agent that holds no peers and needs none. */
+/** Service digest of an agent that does not want the members of its service. */
 constexpr std::uint64_t kWantsNoPeers = 0;
 
 struct Heartbeat
--- a/src/passthrough/DrainLease.h
+++ b/src/passthrough/DrainLease.h
@@ -25,7 +25,7 @@
   /** About six heartbeat intervals. */
   static constexpr Duration kDuration = std::chrono::milliseconds(3000);
 
-  /** A balancer reports that the data centre is drained as of aVersion. */
+  /** A balancer that knows drain state aVersion reports a drain. */
   void OnNotice(std::uint64_t aVersion, Time aNow)
   {
     if (aVersion >= mVersion) {
@@ -34,7 +34,7 @@
     }
   }
 
-  /** A balancer with state aVersion offers a new flow to this host. */
+  /** A balancer that knows drain state aVersion offers this host a new flow. */
   void OnOffer(std::uint64_t aVersion, Time aNow)
   {
     if (aVersion > mVersion) {
--- a/src/passthrough/FlowAdmission.h
+++ b/src/passthrough/FlowAdmission.h
@@ -68,8 +68,9 @@
  * be answered in time. Admitted in order of arrival, the late flows fill the
  * queues and make all flows late. A retransmission that will be followed by
  * another is therefore admitted to a free slot only and never queues. With one
- * second's worth of callers back within 0.4 s at half load, 90 of 100 new ones
- * are in time (81 without this rule), and 87 of 100 late ones are served (97).
+ * second's worth of callers back within 0.4 s at half load, 90 % of new ones
+ * are in time (81 % without the rule); 87 % of late ones are served (97 %
+ * without it).
  *
  * No I/O or clock access; thread safe.
  */
--- a/src/passthrough/FlowBalancer.cpp
+++ b/src/passthrough/FlowBalancer.cpp
@@ -120,7 +120,7 @@
     }
     bool hasWaited = mClock.Now() - mStartedAt >= kHostWaitTimeout;
     if (mSteering.UsableHosts() == 0 && !hasWaited) {
-      return Fail(ErrorKind::Unavailable, "no usable host in view yet",
+      return Fail(ErrorKind::Unavailable, "no usable host known yet",
                   "wait for a heartbeat, or check the agents");
     }
     return {};
--- a/src/passthrough/FlowSteering.h
+++ b/src/passthrough/FlowSteering.h
@@ -157,11 +157,11 @@
   HintCache mHints;
   PlacementWatch mWatch;
   FlowSearches mSearches;
-  /** Until this time every opening packet counts as a later copy. */
+  /** Until this time after a start or stall, an opening packet may be a delayed
+   * copy, and is treated as one. */
   Time mAssumeCopiesUntil{};
-  /** Until this time the hosts of a service may not have been discovered yet,
-   * so an opening packet for a service without hosts is dropped instead of
-   * refused. */
+  /** Until this time hosts may not have been discovered yet, so an opening
+   * packet for a service without hosts is dropped instead of refused. */
   Time mHostDiscoveryUntil{};
   std::array<std::uint64_t, static_cast<std::size_t>(SteerEvent::Last) + 1>
     mCounts{};
--- a/src/passthrough/PacketFormat.h
+++ b/src/passthrough/PacketFormat.h
@@ -26,7 +26,7 @@
   std::uint32_t mSequence = 0;
   std::uint32_t mAcknowledged = 0;
   std::uint16_t mDataLength = 0;
-  /** How often the caller has sent this opening packet already. */
+  /** Number of earlier copies of this opening packet that the caller sent. */
   std::uint32_t mRetransmissions = 0;
   /** The caller will send this opening packet again if it gets no reply. */
   bool mWillRetransmit = false;
--- a/src/passthrough/PassthroughProcess.h
+++ b/src/passthrough/PassthroughProcess.h
@@ -59,7 +59,7 @@
 
   void Steer(const Address& aTo, const SteeredPacket& aPacket);
   void Report(const Address& aBalancer, const PlacementReport& aReport);
-  /** Sends a packet to a caller. aCaller: the caller's address in the flow. */
+  /** Sends to a caller; its port is replaced if the settings name another. */
   void ToCaller(const Address& aCaller, ByteView aPacket);
 
   /** Exports event counters as gauges, one for each event up to aLast. */
--- a/src/passthrough/PlacementWatch.h
+++ b/src/passthrough/PlacementWatch.h
@@ -44,8 +44,8 @@
    * the whole system was slow, each packet of a caller became dozens, and their
    * load kept the system slow. */
   static constexpr int kMaxRepeatedOffers = 2;
-  /** How long an unresponsive host is tried last: a few heartbeats, by when
-   * membership has detected the failure. */
+  /** For this long an unresponsive host is tried last: more than one heartbeat.
+   * Membership suspects it later. */
   static constexpr Duration kSuspicionDuration = std::chrono::milliseconds(700);
   /** For this long after its arrival an opening packet is the only copy that
    * its caller has sent. Callers repeat it after 200 ms, and some of this time
--- a/src/passthrough/StoreWatcherSelection.h
+++ b/src/passthrough/StoreWatcherSelection.h
@@ -40,8 +40,8 @@
   /** How long after its start a balancer may not know the others yet. */
   static constexpr Duration kPeerDiscoveryTimeout =
     std::chrono::milliseconds(1000);
-  /** Running peers respond to a notice within this time; after it a balancer
-   * without routes reads the store. */
+  /** Running peers answer a starting balancer's notice within this time; if it
+   * then has no routes and is receiving none, it reads the store. */
   static constexpr Duration kPeerResponseTimeout =
     std::chrono::milliseconds(40);
 
--- a/src/process/ControlLinks.cpp
+++ b/src/process/ControlLinks.cpp
@@ -11,8 +11,9 @@
 
 namespace {
 
-/** Heartbeats are sent several times a second, so a connection that is idle for
- * this long leads to a process that is gone. */
+/** Long enough that a link in use stays open. Where heartbeats use datagrams,
+ * an idle link to a live process is closed too and reopened at the next
+ * message. */
 constexpr auto kIdleTimeout = std::chrono::seconds(30);
 /** Messages that may wait for a connection; at the limit all of them are
  * dropped, as they would be when a connection breaks. */
--- a/src/record/RunOnce.h
+++ b/src/record/RunOnce.h
@@ -47,8 +47,8 @@
   /** Timeout for the replies of peers during a platform outage. */
   Duration mPeerTimeout = std::chrono::milliseconds(100);
 
-  /** A change is sent again to a home that has not answered after this
-   * interval. After this many tries the shard is written from this process. */
+  /** A change is resent to the shard's home (see SetHomes) at this interval if
+   * it does not answer; after mMaxHomeTries this process writes the shard. */
   Duration mHomeRetryInterval = std::chrono::milliseconds(60);
   std::uint32_t mMaxHomeTries = 2;
   /** Retry interval for a change that the home has reported as queued. */
@@ -71,7 +71,7 @@
  * perform the actions that TakeActions returns. Not thread safe.
  *
  * Each request gets exactly one of Granted, Duplicate, NotRun, Unknown; one
- * that was Granted may still get NotRun, if MayDispatch was never true.
+ * that was Granted may still get NotRun, if MayDispatch never returned true.
  */
 class RunOnce
 {
--- a/src/record/ShardWriter.h
+++ b/src/record/ShardWriter.h
@@ -21,7 +21,7 @@
   Claim,
   /** Adds the answer to the grant with the change's nonce. */
   Answer,
-  /** Removes the grant with the change's nonce, which was given up. */
+  /** Removes the grant with the change's nonce, whose attempt was given up. */
   Withdraw,
 };
 
@@ -90,8 +90,8 @@
   std::size_t mMaxBytesWithAnswers = 900000;
   /** Maximum number of changes in one write. */
   std::size_t mMaxBatch = 500;
-  /** Minimum duration of a generation. A grant is retained in full for one to
-   * two generations, and as a hash for one more. */
+  /** Minimum duration of a generation (see GrantShard). A grant is retained in
+   * full for one to two generations, and as a hash for one more. */
   Duration mGenerationDuration = std::chrono::hours(24);
   /** Cached content is released after this long without use, since 64 full
    * shards exceed the memory of the process; it is read again when needed. */
@@ -133,7 +133,7 @@
    * its answer is delivered (OnGet, OnPut). */
   ShardCall Start(Time aNow);
 
-  /** Deliver an answer; they return the outcomes that it settles. */
+  /** OnGet and OnPut take an answer and return the outcomes that it settles. */
   std::vector<ShardOutcome> OnGet(const Result<Object>& aResult, Time aNow);
   std::vector<ShardOutcome> OnPut(const Result<std::uint64_t>& aResult,
                                   Time aNow);
--- a/src/replay/Player.h
+++ b/src/replay/Player.h
@@ -73,6 +73,7 @@
   std::uint64_t mCaller = 0;
   /** The flow's key; a caller may have several flows. */
   std::uint64_t mFlow = 0;
+  /** In bytes, 0 if unknown; see src/decide/Request.h. */
   std::uint32_t mSize = 0;
   /** Its duration on a healthy host. */
   Duration mTakes{};
--- a/src/replay/Tally.h
+++ b/src/replay/Tally.h
@@ -14,7 +14,8 @@
 
 namespace heatherplank::replay {
 
-/** The outcomes of the requests of one class. */
+/** The outcomes of the requests of one class. Slot time: time for which a
+ * request occupies one of a host's slots (concurrent requests). */
 struct ClassTally
 {
   /** Requests; one that its caller sends again counts once. */
--- a/src/settings/ProcessSettings.h
+++ b/src/settings/ProcessSettings.h
@@ -56,9 +56,9 @@
   std::uint32_t mMaxFlows = 50000;
   /** Maximum bytes of retained answers. */
   std::uint32_t mMaxAnswerBytes = 16777216;
-  /** An agent that started less than this ago can't confirm that a key never
-   * ran on its host: it may have in an earlier incarnation. Above the longest
-   * deadline of a request that may not be repeated, ms. */
+  /** For this many ms after its start an agent can't confirm that the request
+   * with an idempotency key never ran on its host: it may have, earlier. Must
+   * exceed the longest deadline of a request that may not be repeated. */
   std::uint32_t mConfirmAfterMs = 120000;
   /** Maximum time that a planned stop waits for requests in progress, ms. */
   std::uint32_t mDrainTimeoutMs = 10000;
--- a/src/status/StatusAggregator.cpp
+++ b/src/status/StatusAggregator.cpp
@@ -10,8 +10,9 @@
 namespace {
 
 /** Maximum number of write ids retained in an object. Each of its few writers
- * adds one per period, so the outcome of a write whose reply was lost is known
- * long before its id is removed. */
+ * starts at most one write per period; a write lists up to 8 ids, its own and
+ * those of earlier writes whose outcome is unknown. So the outcome of a write
+ * whose reply was lost is known long before its id is removed. */
 constexpr std::size_t kMaxWriteIds = 32;
 /** Maximum number of writes with unknown outcome; at it, new figures wait. */
 constexpr std::size_t kMaxPendingWrites = 8;
--- a/src/status/StatusAggregator.h
+++ b/src/status/StatusAggregator.h
@@ -98,7 +98,8 @@
   std::map<std::string, PolicyFigures> mFigures;
   /** Writes in flight, or whose outcome is unknown. */
   std::vector<PendingWrite> mPending;
-  /** True if the write in flight is the first to include mPending.back(). */
+  /** True if the write in flight added mPending.back(), whose figures return to
+   * mFigures if the write fails without effect. False if mPending was full. */
   bool mIsLastPendingNew = false;
   /** True if reports arrived since the last write, or that write failed. */
   bool mHasChanges = false;
--- a/src/steer/FlowClaimer.h
+++ b/src/steer/FlowClaimer.h
@@ -33,7 +33,7 @@
   /** Sends the claims that ClaimIfDue collected. */
   void Flush(OwnershipActions& aOut);
 
-  /** The round number of queries that only verify a directory entry. */
+  /** Round of queries that verify a directory entry; lookups start at 1. */
   static constexpr std::uint64_t kVerifyRound = 0;
 
   /** As arbiter: handles a claim of a flow that this host does not own. Sets
--- a/src/steer/FlowMover.cpp
+++ b/src/steer/FlowMover.cpp
@@ -7,9 +7,10 @@
 
 namespace {
 
-/** Raises the flow's moves above those of the abandoned offer (mMoves + 1). If
- * the receiver accepted that offer after all and resumes after a stall, its
- * lower count shows that its ownership is outdated.
+/** Called when an offer was refused, or its target is gone: raises the flow's
+ * moves above the offer's (mMoves + 1). A target that was declared dead may
+ * have accepted the offer and resume after a stall; its lower count then shows
+ * that its ownership is outdated.
  */
 void SkipOfferedMove(OwnedFlow& aFlow)
 {
--- a/src/steer/FlowMover.h
+++ b/src/steer/FlowMover.h
@@ -31,7 +31,7 @@
    */
   void StartIfReady(FlowTable::Entry& aFlow, Time aNow, OwnershipActions& aOut);
 
-  /** Holds a packet for a flow that is being handed off, or refuses it. */
+  /** Holds a packet during a hand-off; refuses it beyond mMaxHeldPackets. */
   void Hold(const PacketEvent& aPacket, Time aNow, OwnershipActions& aOut);
 
   /** Handles the reply of the target. */
--- a/src/steer/OwnerLookups.cpp
+++ b/src/steer/OwnerLookups.cpp
@@ -153,8 +153,9 @@
                             Time aNow) const
 {
   if (aReply.mOwner.mHost == mSelf.mHost) {
-    // An entry that names this host counts only if it is new: an older one
-    // dates from an epoch that expired here, or from an earlier incarnation.
+    // A reply that names this host counts only if the flow was just placed
+    // here; otherwise it is about a flow that this host has dropped, or about
+    // an earlier incarnation.
     return aReply.mJustPlaced &&
            aReply.mOwner.mIncarnation == mSelf.mIncarnation;
   }
--- a/src/steer/OwnershipOptions.h
+++ b/src/steer/OwnershipOptions.h
@@ -25,8 +25,8 @@
   bool mClaim = true;
   /** Refuse rather than adopt while a live host is unresponsive. */
   bool mUnresponsivePeer = true;
-  /** Have the owner in an old directory entry confirm that it still owns the
-   * flow, rather than order it to adopt the flow again. */
+  /** Send packets to the owner in an old directory entry with Deliver, not with
+   * Adopt: Adopt could revive an epoch of the flow that has expired. */
   bool mStaleEntry = true;
   /** Distinguish a flow's owner from a later incarnation of the same host. */
   bool mIncarnation = true;
--- a/src/store/ObjectStore.cpp
+++ b/src/store/ObjectStore.cpp
@@ -11,7 +11,7 @@
   done(Fail(ErrorKind::Unavailable,
             "this store does not support watching names under " +
               std::string(aPrefix),
-            "leave the setting that gives this prefix empty"));
+            "leave the setting for objects of this prefix empty"));
 }
 
 } // namespace heatherplank
--- a/src/wire/HomeCodec.h
+++ b/src/wire/HomeCodec.h
@@ -9,8 +9,8 @@
 
 namespace heatherplank {
 
-/** Wire form of the SendToHome action, for RunOnce::OnPendingWrites at the
- * home. */
+/** Changes of run-once keys that an agent sends (SendToHome) to the agent at
+ * the shard's home, which writes them to the platform (OnPendingWrites). */
 struct PendingShardWrites
 {
   ServiceId mService;
@@ -31,7 +31,7 @@
 Bytes EncodePayload(const ShardOutcomes& aMessage);
 
 /** Decodes a payload; Malformed if it does not verify, or holds an unknown
- * change kind or result. */
+ * ChangeKind (pending writes) or result (outcomes). */
 Result<PendingShardWrites> DecodePendingShardWrites(ByteView aPayload);
 Result<ShardOutcomes> DecodeShardOutcomes(ByteView aPayload);
 
--- a/src/wire/KeyCodec.cpp
+++ b/src/wire/KeyCodec.cpp
@@ -55,13 +55,13 @@
 
 Result<KeyAnswer> DecodeKeyAnswer(ByteView aPayload)
 {
-  auto read = ReadRoot<wire::KeyAnswer>(aPayload, "key answer");
+  auto read = ReadRoot<wire::KeyAnswer>(aPayload, "run-once key reply");
   if (!read) {
     return tl::unexpected(read.error());
   }
   const wire::KeyAnswer& from = **read;
   if (from.knowledge() > static_cast<std::uint8_t>(KeyKnowledge::GivenUp)) {
-    return MalformedMessage("key answer");
+    return MalformedMessage("run-once key reply");
   }
   KeyAnswer out{ from.ticket(),
                  { from.service_id() },
--- a/src/wire/PacketCodec.h
+++ b/src/wire/PacketCodec.h
@@ -8,11 +8,11 @@
 /** Action that the receiver of a packet is to take; see packet.fbs. */
 enum class PacketDirective : std::uint8_t
 {
-  Route = 0,
-  Deliver = 1,
-  Adopt = 2,
-  Answer = 3,
-  Lend = 4,
+  Route = 0,   // The receiver finds the flow's owner, or chooses one.
+  Deliver = 1, // The sender believes that the receiver owns the flow.
+  Adopt = 2,   // The arbiter chose the receiver as the owner of a new flow.
+  Answer = 3,  // The packet is an answer on its way to the caller.
+  Lend = 4,    // The receiver runs this one request; the sender keeps the flow.
 };
 
 /** Incarnation of a flow: assigned when the flow is first adopted, preserved by
--- a/src/wire/SteerCodec.cpp
+++ b/src/wire/SteerCodec.cpp
@@ -120,7 +120,7 @@
 Result<OwnershipMessage> Read(const wire::Ask& aFrom)
 {
   if (aFrom.purpose() > static_cast<std::uint8_t>(AskPurpose::Reconfirm)) {
-    return MalformedMessage("ask (unknown purpose)");
+    return MalformedMessage("flow owner query (unknown purpose)");
   }
   return Ask{ heatherplank::FromWire(*aFrom.flow()), FromWire(*aFrom.from()),
               aFrom.round(), static_cast<AskPurpose>(aFrom.purpose()),
@@ -130,7 +130,7 @@
 Result<OwnershipMessage> Read(const wire::AskReply& aFrom)
 {
   if (aFrom.verdict() > static_cast<std::uint8_t>(AskVerdict::Asking)) {
-    return MalformedMessage("ask reply (unknown verdict)");
+    return MalformedMessage("flow owner reply (unknown result)");
   }
   return AskReply{ heatherplank::FromWire(*aFrom.flow()),
                    FromWire(*aFrom.from()),
@@ -146,7 +146,7 @@
 Result<OwnershipMessage> ReadClaims(const From& aFrom)
 {
   if (aFrom.flows()->size() > kMaxFlowsPerClaim) {
-    return MalformedMessage("claim (too many flows)");
+    return MalformedMessage("flow claim (too many flows)");
   }
   return Out{ FromWire(*aFrom.from()), FromWire(*aFrom.flows()) };
 }
--- a/tests/AdmissionTest.cpp
+++ b/tests/AdmissionTest.cpp
@@ -15,6 +15,8 @@
 
 } // namespace
 
+// Classes of ThreeClasses(): claims (critical), checks (high), documents (low,
+// deferrable).
 TEST_GROUP(Admission){};
 
 TEST(Admission, InvalidOptionsOrNameReturnsError)
@@ -94,8 +96,8 @@
   }
 }
 
-// Two long downloads on a host with two slots: without the reservation both
-// slots are lent to them, and a claim has to wait for the shorter one.
+// Two long documents on a host with two slots: without the reservation they
+// hold both, and a claim has to wait for the first to end.
 TEST(Admission, LongRequestsDoNotTakeTheReservedSlot)
 {
   for (bool on : { true, false }) {
@@ -380,8 +382,9 @@
   CHECK_EQUAL(1, host.mPolicy->Load().mQueued);
 }
 
-// Another host admitted a document and forwarded it. Refused here for lack of
-// room, it would be returned to its caller after seconds of waiting.
+// Another host admitted a deferrable request and forwarded it. If this host
+// refused it for lack of room, its caller would get the refusal after seconds
+// of waiting.
 TEST(Admission, ForwardedDeferrableRequestIsAdmitted)
 {
   AdmissionDriver host(ThreeClasses());
--- a/tests/ConfigurationStoreTest.cpp
+++ b/tests/ConfigurationStoreTest.cpp
@@ -331,7 +331,7 @@
     CHECK_TRUE(ana.mStore.ReadVersion(version).has_value());
   }
   CHECK_FALSE(ana.mStore.ReadVersion(newest - 9).has_value());
-  // The head, 8 history entries, one general part, 9 service parts, and the
-  // orphans since the scan at version 64.
+  // The head, 8 history entries, one general part, one service part for each of
+  // the 9 versions, and the orphans since the scan at version 64.
   CHECK_TRUE(mPlatform.mObjects.size() <= 1 + 8 + 1 + 9 + 2);
 }
--- a/tests/FlowAdmissionTest.cpp
+++ b/tests/FlowAdmissionTest.cpp
@@ -253,10 +253,10 @@
   CHECK_TRUE(farm.Ordinary().Share() > 0.98);
 }
 
-// Load: all callers return at once after an outage, with three seconds' worth
-// of requests in half a second. Flows that can't be in time are refused at
-// once, important flows are served first, and a second later no flow is
-// affected.
+// Load: all callers return at once after an outage, with as many requests in
+// half a second as usually arrive in three (half load). Flows that can't be in
+// time are refused at once, important flows are served first, and a second
+// later none is refused.
 TEST(FlowAdmission, MassReturnIsOverWithinASecond)
 {
   Farm farm(7);
--- a/tests/HttpPlatform.h
+++ b/tests/HttpPlatform.h
@@ -16,8 +16,8 @@
 
 namespace heatherplank {
 
-/** The fake store behind docs/CONTRACTS.md's HTTP, on a thread of its own; no
- * watches. */
+/** Serves FakeObjectStore over the HTTP API of docs/CONTRACTS.md, without
+ * watches, on a separate thread. */
 class HttpPlatform
 {
 public:
--- a/tests/MemberTableTest.cpp
+++ b/tests/MemberTableTest.cpp
@@ -99,9 +99,10 @@
 }
 
 // Many balancers die at once, and the remaining ones become monitors of hosts
-// that sent heartbeats to the dead ones, and to it only by chance. Until those
-// hosts know their new monitors, missing heartbeats must not count; otherwise
-// every remaining balancer considers itself isolated while callers need it.
+// that sent heartbeats to the dead ones, and to this one only by chance. Until
+// those hosts know their new monitors, missing heartbeats must not count;
+// otherwise every remaining balancer considers itself isolated while callers
+// need it.
 TEST(MemberTable, NewlyMonitoredHostsHaveAGracePeriod)
 {
   mTable.SetMonitored([](const Member&) { return false; }, mClock.Now());
--- a/tests/PlatformStoreTest.cpp
+++ b/tests/PlatformStoreTest.cpp
@@ -108,7 +108,8 @@
   mStore->Watch("config/main", version, 2s, StoreIn(mWatched));
   RunFor();
   STRCMP_EQUAL(R"({"Version":9})", (**mWatched)->mValue.c_str());
-  // Without a change, the next watch resumes from the listing's revision.
+  // A listing without a newer version leads to a further watch, which ends
+  // without a change.
   mWatched.reset();
   mStore->Watch("config/main", (**mGot).mVersion + 1000, 100ms,
                 StoreIn(mWatched));
--- a/tests/RunOnceSimulation.h
+++ b/tests/RunOnceSimulation.h
@@ -27,7 +27,8 @@
   int mPause = 35;
   int mLostOutcome = 5;
   int mServerRefuses = 5;
-  /** Runs in which shards have homes. */
+  /** Not a fault: percentage of runs that call SetHomes, so that one agent
+   * writes a shard for all. */
   int mHomes = 50;
 };
 
--- a/tests/RunOnceTest.cpp
+++ b/tests/RunOnceTest.cpp
@@ -61,7 +61,7 @@
 
 // Requests for the same keys arrive at three agents, while agents crash and
 // stall and the platform loses calls and answers, commits writes late and goes
-// down. No key may run twice or after its request was answered NotRun, and
+// down. No key may run twice, no request that ran may be answered NotRun, and
 // every request must be answered.
 TEST(RunOnce, KeepsItsGuaranteesUnderSeededFaults)
 {
--- a/tests/StatusTest.cpp
+++ b/tests/StatusTest.cpp
@@ -108,16 +108,16 @@
 TEST(Status, RemovesProcessesWithoutRecentReports)
 {
   StatusAggregator::Options options;
-  StatusAggregator board(options);
-  board.OnReport(MakeReport("b1", 1), 1000);
-  board.Tick(mNow);
+  StatusAggregator aggregator(options);
+  aggregator.OnReport(MakeReport("b1", 1), 1000);
+  aggregator.Tick(mNow);
   auto write =
-    board.OnRead(Fail(ErrorKind::NotFound, "none", ""), 1000).value();
+    aggregator.OnRead(Fail(ErrorKind::NotFound, "none", ""), 1000).value();
   CHECK_TRUE(write.mCondition.mKind == WriteCondition::Kind::IfAbsent);
-  board.OnWritten(1);
-  board.OnReport(MakeReport("b2", 1), 5000000);
-  board.Tick(mNow + 10s);
-  write = board.OnRead(Object{ "", write.mValue, 1 }, 5000000).value();
+  aggregator.OnWritten(1);
+  aggregator.OnReport(MakeReport("b2", 1), 5000000);
+  aggregator.Tick(mNow + 10s);
+  write = aggregator.OnRead(Object{ "", write.mValue, 1 }, 5000000).value();
   auto status = ParseStatus(write.mValue).value();
   LONGS_EQUAL(1, status.mProcesses.size());
   LONGS_EQUAL(2, status.mFigures["random"].mFlowsOpened);
@@ -134,9 +134,9 @@
     damaged[random() % damaged.size()] ^= 1U << (random() % 8);
     damaged.resize(random() % 2 == 0 ? damaged.size()
                                      : random() % damaged.size());
-    StatusAggregator board{ StatusAggregator::Options() };
+    StatusAggregator aggregator{ StatusAggregator::Options() };
     if (auto read = DecodeStatusReport(damaged)) {
-      board.OnReport(*read, 1);
+      aggregator.OnReport(*read, 1);
     }
   }
 }
