--- a/src/balancer/MemberPlane.cpp
+++ b/src/balancer/MemberPlane.cpp
@@ -10,9 +10,10 @@
 
 namespace heatherplank {
 
-/** Asks the inventory in force. Before the first one every host is taken in,
- * and judged when it comes: a balancer that starts in an outage of the platform
- * learns of its peers, and from them of the inventory, by this membership. */
+/** Checks hosts against the inventory in force. Before the first inventory all
+ * hosts are admitted, to be checked once it arrives: a balancer that starts
+ * during a platform outage discovers its peers through this membership, and
+ * receives the inventory from them. */
 class MemberPlane::ConfiguredInventory final : public InventoryCheck
 {
 public:
@@ -42,13 +43,15 @@
 {
   BalancerMembershipOptions options;
   options.mSeeds = std::move(aSeeds);
-  // Three heartbeats of an agent: callers wait a second for an answer, and must
-  // be told before that. Death stays at 3 s, above the agents' trust in a view.
-  options.mTable.mSuspectAfter = std::chrono::milliseconds(900);
-  options.mTable.mRefuteWithin = std::chrono::milliseconds(2100);
-  // Ranks come from the full weight: one that grows would move the arbiters of
-  // flows for as long as a host starts. Slow start is the agents' choice.
-  options.mTable.mSlowStart = Duration::zero();
+  // A host is suspected after three heartbeats (0.9 s): from then on its
+  // callers are refused, within the second that they wait. It is declared dead
+  // 2.1 s later. By then it has stopped dispatching, since agents trust a view
+  // for 2 s.
+  options.mTable.mSuspectTimeout = std::chrono::milliseconds(900);
+  options.mTable.mRefutationTimeout = std::chrono::milliseconds(2100);
+  // Ranks use the full weight, since a growing weight would move the arbiters
+  // of flows during a host's start. Agents apply slow start instead.
+  options.mTable.mSlowStartDuration = Duration::zero();
   return options;
 }
 
@@ -107,15 +110,15 @@
   mMembership.SetSeeds(std::move(aSeeds));
 }
 
-std::vector<Member> MemberPlane::AskSome(std::size_t aCount)
+std::vector<Member> MemberPlane::RequestHeartbeats(std::size_t aCount)
 {
-  std::vector<Member> asked;
+  std::vector<Member> queried;
   {
     std::lock_guard lock(mLock);
-    asked = mMembership.AskSome(aCount, mParts.mClock.Now());
+    queried = mMembership.RequestHeartbeats(aCount, mParts.mClock.Now());
   }
   Flush();
-  return asked;
+  return queried;
 }
 
 void MemberPlane::Leave()
@@ -172,7 +175,8 @@
 {
   std::lock_guard lock(mLock);
   auto all = mMembership.Balancers().View(BalancerService())->mMembers;
-  std::erase_if(all, [&](const Member& aIt) { return aIt.mHost == mSelf; });
+  std::erase_if(all,
+                [&](const Member& aMember) { return aMember.mHost == mSelf; });
   return all;
 }
 
@@ -182,10 +186,10 @@
   return mMembership.Hosts().Size();
 }
 
-std::size_t MemberPlane::Judged() const
+std::size_t MemberPlane::MonitoredCount() const
 {
   std::lock_guard lock(mLock);
-  return mMembership.Hosts().Judged();
+  return mMembership.Hosts().MonitoredCount();
 }
 
 } // namespace heatherplank
--- a/src/decide/AdmissionPolicy.cpp
+++ b/src/decide/AdmissionPolicy.cpp
@@ -11,9 +11,9 @@
   std::string_view aName, const AdmissionOptions& aOptions)
 {
   if (aOptions.mSlots == 0 || aOptions.mClasses.empty()) {
-    return Fail(ErrorKind::InvalidInput,
-                "an admission without slots or without classes",
-                "set mSlots to 1 or more and give at least one class");
+    return Fail(
+      ErrorKind::InvalidInput, "admission policy has no slots or no classes",
+      "set the number of slots to at least 1 and add at least one class");
   }
   if (aName == "reservation") {
     return std::make_unique<ReservationAdmission>(aOptions);
@@ -22,8 +22,8 @@
     return std::make_unique<BaselineAdmission>(aOptions, aName == "priority");
   }
   return Fail(ErrorKind::InvalidInput,
-              "no admission policy is named \"" + std::string(aName) + "\"",
-              "use reservation, priority or fifo");
+              "unknown admission policy \"" + std::string(aName) + "\"",
+              "use \"reservation\", \"priority\" or \"fifo\"");
 }
 
 } // namespace heatherplank
--- a/src/passthrough/FlowAdmission.cpp
+++ b/src/passthrough/FlowAdmission.cpp
@@ -13,8 +13,8 @@
 
 bool FlowAdmission::HasFreeSlot(const HostCondition& aHost) const
 {
-  // A cold host works at a fraction of its speed: one request at a time keeps
-  // its answers within the target while others have slots.
+  // A cold host works at a fraction of its speed. One slot less keeps its
+  // answers within the target while other hosts have free slots.
   std::uint32_t slots =
     aHost.mIsCold && aHost.mSlots > 1 ? aHost.mSlots - 1 : aHost.mSlots;
   return aHost.mInProgress < slots;
@@ -23,14 +23,14 @@
 bool FlowAdmission::IsWorthWaiting(const HostCondition& aHost,
                                    const FlowOffer& aOffer) const
 {
-  if (aOffer.mReturnsLater) {
+  if (aOffer.mWillRetransmit) {
     return false;
   }
   bool important = aOffer.mImportance >= Importance::High;
   double perSlot =
-    mOptions.mWaitingPerSlot - (important ? 0 : mOptions.mKeptPerSlot);
-  auto places = static_cast<std::uint32_t>(perSlot * aHost.mSlots);
-  if (aHost.mInProgress >= aHost.mSlots + places) {
+    mOptions.mMaxWaitingPerSlot - (important ? 0 : mOptions.mReservedPerSlot);
+  auto maxWaiting = static_cast<std::uint32_t>(perSlot * aHost.mSlots);
+  if (aHost.mInProgress >= aHost.mSlots + maxWaiting) {
     return false;
   }
   double share = important ? mOptions.mImportantWaitShare : mOptions.mWaitShare;
@@ -45,22 +45,23 @@
 {
   bool usable = aHost.mTakesNewFlows && !aHost.mSeemsDown;
   if (usable && HasFreeSlot(aHost)) {
-    return FlowDecision::Take;
+    return FlowDecision::Admit;
   }
-  if (aOffer.mHasMore && !aOffer.mMustTake) {
-    return FlowDecision::PassOn;
+  if (aOffer.mHasMoreCandidates && !aOffer.mIsLastOffer) {
+    return FlowDecision::Forward;
   }
-  bool isBest =
-    aOffer.mMustTake || !aOffer.mHasBest || WaitAt(aHost) <= aOffer.mBestWait;
+  bool isBest = aOffer.mIsLastOffer || !aOffer.mHasBest ||
+                WaitAt(aHost) <= aOffer.mBestWait;
   if (usable && isBest) {
-    return IsWorthWaiting(aHost, aOffer) ? FlowDecision::Take
+    return IsWorthWaiting(aHost, aOffer) ? FlowDecision::Admit
                                          : FlowDecision::Refuse;
   }
-  if (aOffer.mHasBest && !aOffer.mMustTake) {
-    return FlowDecision::ToBest;
+  if (aOffer.mHasBest && !aOffer.mIsLastOffer) {
+    return FlowDecision::ForwardToBest;
   }
-  // A host that seems down is still the better bet than a sure refusal.
-  return aHost.mTakesNewFlows ? FlowDecision::Take : FlowDecision::Refuse;
+  // Offering the flow to a host that only seems down is better than refusing it
+  // for sure.
+  return aHost.mTakesNewFlows ? FlowDecision::Admit : FlowDecision::Refuse;
 }
 
 } // namespace heatherplank
--- a/src/passthrough/PassthroughProcess.cpp
+++ b/src/passthrough/PassthroughProcess.cpp
@@ -21,7 +21,8 @@
   , mOnSeeds(std::move(aParts.mOnSeeds))
   , mSeeds(aParts.mSettings.mSeeds)
   , mDirectory(BalancerDirectory::Make(
-      *mStore, { aParts.mSettings.mDirectory, aParts.mRegisters, aParts.mSeed },
+      *mStore,
+      { aParts.mSettings.mDirectory, aParts.mRegisteredAddress, aParts.mSeed },
       [this](std::vector<Address> aFound) {
         aFound.insert(aFound.end(), mSeeds.begin(), mSeeds.end());
         mOnSeeds(std::move(aFound));
@@ -53,7 +54,7 @@
   return mAdmin.Start(executor, mSettings.mMetrics);
 }
 
-std::optional<Frame> PassthroughProcess::Unwrap(ByteView aDatagram)
+std::optional<Frame> PassthroughProcess::DecodeEnvelope(ByteView aDatagram)
 {
   auto frame = DecodeDatagram(aDatagram);
   if (!frame) {
@@ -91,21 +92,21 @@
     .Set(static_cast<double>(DroppedLogLines()));
 }
 
-void PassthroughProcess::TendDirectory(bool aIsLost, Time aNow)
+void PassthroughProcess::UpdateDirectory(bool aHasNoPeers, Time aNow)
 {
   if (!mSettings.mDirectory.empty()) {
-    mDirectory->OnTick(aIsLost, aNow);
+    mDirectory->OnTick(aHasNoPeers, aNow);
   }
 }
 
-void PassthroughProcess::TakeSeeds(const std::vector<Address>& aSeeds)
+void PassthroughProcess::ReplaceSeeds(const std::vector<Address>& aSeeds)
 {
   mSeeds = aSeeds;
   mOnSeeds(mSeeds);
   LogEvent(LogLevel::Info, "settings_reloaded", { { "seeds", mSeeds.size() } });
 }
 
-void PassthroughProcess::RefuseSettings(const Error& aWhy)
+void PassthroughProcess::LogRefusedSettings(const Error& aWhy)
 {
   LogEvent(LogLevel::Error, "settings_refused", { { "why", aWhy.Describe() } });
 }
--- a/src/status/StatusPublisher.cpp
+++ b/src/status/StatusPublisher.cpp
@@ -9,7 +9,7 @@
 
 namespace {
 
-std::int64_t WallMs()
+std::int64_t WallClockMs()
 {
   return std::chrono::duration_cast<std::chrono::milliseconds>(
            std::chrono::system_clock::now().time_since_epoch())
@@ -20,7 +20,7 @@
 
 struct StatusPublisher::Impl
 {
-  Impl(ObjectStore& aStore, StatusBoard::Options aOptions)
+  Impl(ObjectStore& aStore, StatusAggregator::Options aOptions)
     : mStore(aStore)
     , mBoard(std::move(aOptions))
   {
@@ -28,7 +28,7 @@
 
   ObjectStore& mStore;
   std::mutex mLock;
-  StatusBoard mBoard;
+  StatusAggregator mBoard;
 };
 
 StatusPublisher::StatusPublisher(std::unique_ptr<Impl> aImpl)
@@ -39,7 +39,7 @@
 StatusPublisher::~StatusPublisher() = default;
 
 std::shared_ptr<StatusPublisher> StatusPublisher::Make(
-  ObjectStore& aStore, StatusBoard::Options aOptions)
+  ObjectStore& aStore, StatusAggregator::Options aOptions)
 {
   return std::shared_ptr<StatusPublisher>(
     new StatusPublisher(std::make_unique<Impl>(aStore, std::move(aOptions))));
@@ -48,7 +48,7 @@
 void StatusPublisher::OnReport(const StatusReport& aReport)
 {
   std::lock_guard lock(mImpl->mLock);
-  mImpl->mBoard.OnReport(aReport, WallMs());
+  mImpl->mBoard.OnReport(aReport, WallClockMs());
 }
 
 void StatusPublisher::Tick(Time aNow)
@@ -71,7 +71,7 @@
   std::optional<StatusWrite> write;
   {
     std::lock_guard lock(mImpl->mLock);
-    write = mImpl->mBoard.OnRead(aResult, WallMs());
+    write = mImpl->mBoard.OnRead(aResult, WallClockMs());
   }
   if (!write) {
     return;
--- a/src/status/StatusReporter.cpp
+++ b/src/status/StatusReporter.cpp
@@ -14,7 +14,7 @@
                                Time aNow)
 {
   mOptions.mProcess.mVersion = aVersion;
-  mOptions.mProcess.mSinceMs = aWallMs;
+  mOptions.mProcess.mInForceSinceMs = aWallMs;
   mChangedAt = mChangedAt.value_or(aNow);
 }
 
@@ -27,10 +27,10 @@
 
 bool StatusReporter::IsDue(Time aNow) const
 {
-  if (mChangedAt && aNow >= *mChangedAt + mOptions.mAfterChange) {
+  if (mChangedAt && aNow >= *mChangedAt + mOptions.mChangeDelay) {
     return true;
   }
-  Duration period = mFigures.empty() ? mOptions.mLongest : mOptions.mPeriod;
+  Duration period = mFigures.empty() ? mOptions.mMaxPeriod : mOptions.mPeriod;
   return aNow >= mSentAt + period;
 }
 
@@ -50,8 +50,8 @@
   return out;
 }
 
-HostId ChooseStatusKeeper(std::uint32_t aShard,
-                          std::span<const HostId> aBalancers)
+HostId ChooseStatusAggregator(std::uint32_t aShard,
+                              std::span<const HostId> aBalancers)
 {
   auto rank = [aShard](HostId aId) { return MixHash(aId.mValue, aShard); };
   auto best = std::ranges::max_element(aBalancers, {}, rank);
--- a/src/steer/ServiceView.cpp
+++ b/src/steer/ServiceView.cpp
@@ -41,8 +41,8 @@
   return out;
 }
 
-std::vector<const Member*> ServiceView::RankedDeep(std::uint64_t aFlowHash,
-                                                   std::size_t aCount) const
+std::vector<const Member*> ServiceView::RankedByScan(std::uint64_t aFlowHash,
+                                                     std::size_t aCount) const
 {
   std::vector<const Member*> out;
   for (std::uint16_t it : mRanks.BestByScan(aFlowHash, aCount)) {
@@ -64,7 +64,7 @@
 const Member* ServiceView::Arbiter(std::uint64_t aFlowHash) const
 {
   std::uint16_t first = mRanks.First(aFlowHash);
-  return first == RankTable::kNobody ? nullptr : &mMembers[first];
+  return first == RankTable::kNoMember ? nullptr : &mMembers[first];
 }
 
 std::size_t ServiceView::MemoryUse() const
--- a/src/wire/HomeCodec.h
+++ b/src/wire/HomeCodec.h
@@ -9,14 +9,16 @@
 
 namespace heatherplank {
 
-/** AskHome on its way: for RunOnce::OnWishes at the home. */
-struct ShardWishes
+/** Changes of run-once keys that an agent sends (SendToHome) to the agent at
+ * the shard's home, which writes them to the platform (OnPendingWrites). */
+struct PendingShardWrites
 {
   ServiceId mService;
-  std::vector<ShardWish> mWishes;
+  std::vector<PendingShardWrite> mPendingWrites;
 };
 
-/** TellAgent on its way: for RunOnce::OnOutcomes at the agent. */
+/** Wire form of the ReplyToAgent action, for the agent's RunOnce::OnOutcomes.
+ */
 struct ShardOutcomes
 {
   ServiceId mService;
@@ -24,13 +26,13 @@
   Duration mRetryAfter{};
 };
 
-/** The payload of a frame; the caller adds the header. */
-Bytes EncodePayload(const ShardWishes& aMessage);
+/** Encodes the payload of a frame; the caller adds the header. */
+Bytes EncodePayload(const PendingShardWrites& aMessage);
 Bytes EncodePayload(const ShardOutcomes& aMessage);
 
-/** Reads a payload of its kind; Malformed if it does not verify, or names a
- * kind or result that can't be. */
-Result<ShardWishes> DecodeShardWishes(ByteView aPayload);
+/** Decodes a payload; Malformed if it does not verify, or holds an unknown
+ * ChangeKind (pending writes) or result (outcomes). */
+Result<PendingShardWrites> DecodePendingShardWrites(ByteView aPayload);
 Result<ShardOutcomes> DecodeShardOutcomes(ByteView aPayload);
 
 } // namespace heatherplank
--- a/tests/AdminApiTest.cpp
+++ b/tests/AdminApiTest.cpp
@@ -60,7 +60,7 @@
   }
 };
 
-TEST(AdminApi, RefusesWithoutTokenOrRoleAndCounts)
+TEST(AdminApi, RejectsAndCountsRequestsWithoutTokenOrRole)
 {
   using enum http::verb;
   Expect(401, "\"token\"", Call(get, "/v1/config", ""));
@@ -75,7 +75,7 @@
   CHECK_TRUE(mStore.mObjects.empty());
 }
 
-TEST(AdminApi, DoesWhatTheCommandsDo)
+TEST(AdminApi, ServesTheOperatorCommands)
 {
   using enum http::verb;
   Expect(404, "no configuration yet", Call(get, "/v1/config", kBen));
@@ -88,7 +88,8 @@
   STRCMP_EQUAL("\"1\"", std::string(got[http::field::etag]).c_str());
   Expect(200, "\"version\":2",
          Call(put, "/v1/policy", kAna, R"({"name": "random"})"));
-  Expect(400, "use random", Call(put, "/v1/policy", kAna, R"({"name": "x"})"));
+  Expect(400, R"(use \"random\")",
+         Call(put, "/v1/policy", kAna, R"({"name": "x"})"));
   Expect(200, "\"version\":3", Call(put, "/v1/drains/cover-desk-1", kAna));
   Expect(200, "\"drained_hosts\":[\"cover-desk-1\"]",
          Call(get, "/v1/config", kBen));
@@ -102,7 +103,7 @@
   Expect(404, "docs/ADMIN.md", Call(get, "/v1/nothing", kBen));
 }
 
-TEST(AdminApi, ChecksTheTokenFile)
+TEST(AdminApi, TokenFileErrorsNameEachFault)
 {
   auto faults = AdminTokens::Parse(
     R"({"tokens": [{"name": "a", "role": "root", "token": "short"},
